--- a/src/wigeonpier/policy/gate.py
+++ b/src/wigeonpier/policy/gate.py
@@ -1,8 +1,8 @@
-"""Decides how much batch work an upstream takes beside its online work.
+"""Decides how much batch work an upstream runs beside its online work.
 
-The time of an engine's step grows about linearly with the streams in its
-batch.  The gate learns that line from the gaps that it sees between tokens,
-and works out how many streams fit within the target.
+The step time of an engine grows about linearly with the streams in its batch.
+The gate fits that line to the gaps that it measures between tokens, and
+computes how many streams fit within the latency target.
 """
 
 from __future__ import annotations
@@ -10,26 +10,26 @@
 import math
 from dataclasses import dataclass, replace
 
-FORGETTING = 0.999
+DECAY = 0.999
 PRIOR_WEIGHT = 4.0
 PRIOR_STREAMS = (1, 16)
 PRIOR_STEP_SECONDS = 0.012
 PRIOR_SLOPE_SECONDS = 0.001
 TARGET_MARGIN = 0.97
-LEAST_SLOTS = 1
-MOST_SLOTS = 1024
+MIN_SLOTS = 1
+MAX_SLOTS = 1024
 ONE_RUN_SHARE = 0.25
-LONGEST_GAP_SECONDS = 2.0
-LEAST_ONLINE = 16
-ONLINE_OVERLOAD = 4
-LEAST_SLOPE_SECONDS = 0.0002
-FURTHEST_SHARE = 1.5
-FURTHEST_MORE = 4
+MAX_GAP_SECONDS = 2.0
+MIN_ONLINE_STREAMS = 16
+ONLINE_OVERLOAD_FACTOR = 4
+MIN_SLOPE_SECONDS = 0.0002
+EXTRAPOLATION_FACTOR = 1.5
+EXTRAPOLATION_STREAMS = 4
 
 
 @dataclass(slots=True)
 class StepModel:
-    """Weighted sums of a straight line through (streams, seconds).
+    """Weighted sums for a linear fit of step time (seconds) over streams.
 
     :param weight: sum of weights.
     :param streams: weighted sum of streams.
@@ -46,7 +46,9 @@
 
 
 def make_model() -> StepModel:
-    """Begin with nothing but the cautious guess that each fit holds.
+    """Create a model without points.
+
+    Each fit adds a conservative prior.
 
     :returns: a model without points.
     """
@@ -54,39 +56,39 @@
 
 
 def note_gap(model: StepModel, streams: float, seconds: float) -> None:
-    """Take in the time between two tokens of one stream.
+    """Add the time between two tokens of one stream.
 
     :param model: changed in place.
     :param streams: streams that ran at the upstream.
     :param seconds: the gap; very long ones are stalls and are ignored.
     """
-    if seconds > LONGEST_GAP_SECONDS:
+    if seconds > MAX_GAP_SECONDS:
         return
     for name in StepModel.__slots__:
-        setattr(model, name, getattr(model, name) * FORGETTING)
+        setattr(model, name, getattr(model, name) * DECAY)
     _add_point(model, streams, seconds, 1)
 
 
 def count_slots(model: StepModel, target_seconds: float) -> int:
-    """Work out how many streams keep within the target.
+    """Compute how many streams fit within the target.
 
-    The line is followed from where the gaps were seen, and only so far
-    beyond that it is soon seen again.  Its slope has a floor: when online
-    work arrives, prompts are read while fewer streams run, so that long
-    gaps with few streams could make further streams look free.
+    The line is extrapolated only a little beyond the measured gaps, so that
+    the prediction is soon checked by new ones.  Its slope has a lower bound:
+    when online work arrives, prompts are read while fewer streams run, and
+    long gaps with few streams could make further streams look free.
 
-    :param model: what was learned.
-    :param target_seconds: most time between tokens.
+    :param model: the measured gaps.
+    :param target_seconds: longest time between tokens.
     :returns: streams, at least one.
     """
-    known = _add_guess(model)
-    mean_streams = known.streams / known.weight
-    mean_seconds = known.seconds / known.weight
-    slope = max(LEAST_SLOPE_SECONDS, _fit_slope(known))
-    room = target_seconds * TARGET_MARGIN - mean_seconds
-    furthest = mean_streams * FURTHEST_SHARE + FURTHEST_MORE
-    slots = min(mean_streams + room / slope, furthest, MOST_SLOTS)
-    return max(LEAST_SLOTS, math.floor(slots))
+    fitted = _add_prior(model)
+    mean_streams = fitted.streams / fitted.weight
+    mean_seconds = fitted.seconds / fitted.weight
+    slope = max(MIN_SLOPE_SECONDS, _fit_slope(fitted))
+    headroom = target_seconds * TARGET_MARGIN - mean_seconds
+    max_slots = mean_streams * EXTRAPOLATION_FACTOR + EXTRAPOLATION_STREAMS
+    slots = min(mean_streams + headroom / slope, max_slots, MAX_SLOTS)
+    return max(MIN_SLOTS, math.floor(slots))
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,56 +107,62 @@
     one_run: int
 
 
-def may_admit_batch(seen: Occupancy, slots: int, *, is_one_run: bool) -> bool:
+def may_admit_batch(
+    occupancy: Occupancy, slots: int, *, is_one_run: bool
+) -> bool:
     """Decide whether one more batch stream may start.
 
-    :param seen: what runs and waits.
+    :param occupancy: what runs and waits.
     :param slots: streams that fit within the target.
-    :param is_one_run: whether it may not be stopped and run again; such
-        items only get a share of the slots, since they cannot give way.
+    :param is_one_run: whether it may not be stopped and run again; such items
+        only get a share of the slots, since they cannot be preempted.
     :returns: false while any online request waits.
     """
-    if seen.online_waiting or seen.online + seen.batch >= slots:
+    if occupancy.online_waiting or occupancy.online + occupancy.batch >= slots:
         return False
     if is_one_run:
-        return seen.one_run < max(1, int(slots * ONE_RUN_SHARE))
+        return occupancy.one_run < max(1, int(slots * ONE_RUN_SHARE))
     return True
 
 
-def may_admit_online(seen: Occupancy, slots: int) -> bool:
+def may_admit_online(occupancy: Occupancy, slots: int) -> bool:
     """Decide whether one more online stream may start now.
 
-    :param seen: what runs and waits.
+    :param occupancy: what runs and waits.
     :param slots: streams that fit within the target.
     :returns: false only where the upstream is far beyond its target; until
-        then a longer step harms a caller less than waiting does.
+        then a longer step delays a caller less than waiting does.
     """
-    return seen.online < max(LEAST_ONLINE, slots * ONLINE_OVERLOAD)
+    return occupancy.online < max(
+        MIN_ONLINE_STREAMS, slots * ONLINE_OVERLOAD_FACTOR
+    )
 
 
-def count_to_preempt(seen: Occupancy, slots: int) -> int:
-    """Decide how many batch streams have to give way.
+def count_to_preempt(occupancy: Occupancy, slots: int) -> int:
+    """Decide how many batch streams to preempt.
 
-    :param seen: what runs and waits, the newest online request included.
+    :param occupancy: what runs and waits, including the newest online request.
     :param slots: streams that fit within the target.
     :returns: streams to stop, at most those that may be stopped.
     """
-    wanted = seen.online + seen.online_waiting + seen.batch - slots
-    return max(0, min(wanted, seen.batch - seen.one_run))
+    excess = (
+        occupancy.online + occupancy.online_waiting + occupancy.batch - slots
+    )
+    return max(0, min(excess, occupancy.batch - occupancy.one_run))
 
 
-def _add_guess(model: StepModel) -> StepModel:
-    """Add a guess of two points that is never forgotten.
+def _add_prior(model: StepModel) -> StepModel:
+    """Add a prior of two points that does not decay.
 
-    While an upstream runs one number of streams all the time, the gaps say
-    nothing of the slope; without the guess it could come out as none, and
-    the slots as endless.
+    While an upstream always runs the same number of streams, the gaps do not
+    determine the slope; without the prior it could come out as zero, and the
+    slots as infinite.
     """
-    guessed = replace(model)
+    with_prior = replace(model)
     for streams in PRIOR_STREAMS:
-        guess = PRIOR_STEP_SECONDS + PRIOR_SLOPE_SECONDS * (streams - 1)
-        _add_point(guessed, streams, guess, PRIOR_WEIGHT)
-    return guessed
+        prior_seconds = PRIOR_STEP_SECONDS + PRIOR_SLOPE_SECONDS * (streams - 1)
+        _add_point(with_prior, streams, prior_seconds, PRIOR_WEIGHT)
+    return with_prior
 
 
 def _add_point(
@@ -171,6 +179,6 @@
 
 
 def _fit_slope(model: StepModel) -> float:
-    spread = model.weight * model.squares - model.streams**2
-    joint = model.weight * model.products - model.streams * model.seconds
-    return joint / spread
+    variance = model.weight * model.squares - model.streams**2
+    covariance = model.weight * model.products - model.streams * model.seconds
+    return covariance / variance
--- a/src/wigeonpier/policy/pacing.py
+++ b/src/wigeonpier/policy/pacing.py
@@ -1,11 +1,11 @@
-"""Decides which batch items run beside the questions of one upstream.
-
-The load that it answers: questions that come in waves, 0.4 and 1.9 times the
-mean in turns of 2 to 4 seconds, at an engine that admits in order of arrival,
-knows no priorities, and whose step hardly slows as its slots fill.  So items
-fill the troughs and give way in the crests: a paused item costs the reading
-of its prompt and text so far, some 20 ms, while a question that waits for a
-slot waits up to a whole answer.
+"""Decides which batch items run beside the online requests of one upstream.
+
+Addresses online load that alternates between 0.4 and 1.9 times its mean every
+2 to 4 seconds, at an engine that admits in order of arrival, knows no
+priorities, and whose step hardly slows as its slots fill.  Batch items fill
+the troughs and are paused in the peaks: resuming a paused item costs reading
+its prompt and its text so far, some 20 ms, while an online request that waits
+for a slot waits up to a whole answer.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from wigeonpier.policy.runlengths import FIRST_DEVIATION
 
-# Slots kept free for the next questions.
+# Slots kept free for the next online requests.
 RESERVED_SLOTS = 0
-# Limits the slots that urgent items hold against questions, which would
+# Limits the slots that urgent items keep from online requests, which would
 # otherwise be late for seconds after a restart.
 URGENT_SLOTS = 2
 # The length of an item is known only when it completes; planning for the mean
 # alone makes longer items late.
-LONG_DEVIATIONS = 2.0
-# Share of a whole item that one longer than planned may still take.
-LEAST_LEFT_SHARE = 0.1
+PLANNED_DEVIATIONS = 2.0
+# Assumed remaining share of an item that is already longer than planned.
+MIN_REMAINING_SHARE = 0.1
 URGENT_SLACK_SECONDS = 1.0
 
 Key = tuple[str, int]
@@ -34,9 +34,9 @@
     """What pacing knows of one item.
 
     :param key: its identity.
-    :param seconds_left: until it is due.
-    :param done_share: its events that are kept, as a share of those that
-        items have in the mean; above 1 where it is longer.
+    :param seconds_left: time until its deadline.
+    :param done_share: events that it has produced and kept, as a share of the
+        mean number of events of an item; above 1 for an item longer than that.
     :param priority: rank, 0 is the highest.
     """
 
@@ -51,9 +51,9 @@
     """What pacing knows of the upstream.
 
     :param slots: requests that it runs at once.
-    :param running: requests that run, items included.
+    :param running: running requests, including items.
     :param waiting: requests that wait for a slot.
-    :param run_seconds: how long a whole item takes.
+    :param run_seconds: how long a whole item runs.
     :param deviation: mean deviation of the items' lengths, as a share of
         their mean.
     """
@@ -72,10 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """What to do now.
+    """Items to start and to pause.
 
     :param start: items to start.
-    :param pause: items to stop and go on with later.
+    :param pause: items to stop and to resume later.
     """
 
     start: tuple[Key, ...] = ()
@@ -87,51 +87,51 @@
     running: list[ItemView],
     waiting: list[ItemView],
 ) -> Pace:
-    """Decide which items start and which give way.
+    """Decide which items start and which are paused.
 
     :param upstream: load of the upstream.
     :param running: items that run there.
     :param waiting: items that could run there.
-    :returns: what to do now.
+    :returns: items to start or to pause.
     """
     questions = max(0, upstream.running + upstream.waiting - len(running))
-    room = max(0, upstream.slots - RESERVED_SLOTS - questions)
-    allowed = max(room, count_firm(upstream, running))
+    free_slots = max(0, upstream.slots - RESERVED_SLOTS - questions)
+    allowed = max(free_slots, count_firm(upstream, running))
     if questions and len(running) > allowed:
         return Pace(pause=_choose_to_pause(upstream, running, allowed))
-    return Pace(start=_choose_to_start(upstream, running, waiting, room))
+    return Pace(start=_choose_to_start(upstream, running, waiting, free_slots))
 
 
 def measure_slack(upstream: UpstreamView, item: ItemView) -> float:
-    """Measure how long an item may still wait.
+    """Compute how long an item can still wait.
 
     :param upstream: load of the upstream.
     :param item: the item.
     :returns: seconds, negative where it will be late.
     """
-    planned = 1 + LONG_DEVIATIONS * upstream.deviation
-    left = max(LEAST_LEFT_SHARE, planned - item.done_share)
-    return item.seconds_left - upstream.run_seconds * left
+    planned = 1 + PLANNED_DEVIATIONS * upstream.deviation
+    remaining = max(MIN_REMAINING_SHARE, planned - item.done_share)
+    return item.seconds_left - upstream.run_seconds * remaining
 
 
 def count_firm(upstream: UpstreamView, running: list[ItemView]) -> int:
-    """Count the slots that items hold against questions.
+    """Count the slots that items keep from online requests.
 
     :param upstream: load of the upstream.
     :param running: items that run there.
-    :returns: slots that no question finds free.
+    :returns: slots that online requests cannot use.
     """
     urgent = sum(is_urgent(upstream, item) for item in running)
     return min(urgent, URGENT_SLOTS)
 
 
 def is_urgent(upstream: UpstreamView, item: ItemView) -> bool:
-    """Tell whether an item is late unless it runs now.
+    """Check whether an item will be late unless it runs now.
 
     :param upstream: load of the upstream.
     :param item: the item.
-    :returns: false also where it is late already: it earns little then, and
-        must not hold questions up.
+    :returns: false also where it cannot be in time any more: there is little
+        to gain then, and it must not delay online requests.
     """
     if _is_late(upstream, item):
         return False
@@ -139,23 +139,21 @@
 
 
 def _rank(upstream: UpstreamView, item: ItemView) -> tuple[bool, int, float]:
-    """Rank an item: what can be in time goes first, then by priority.
+    """Rank an item: those that can be in time first, then by priority.
 
-    Of the same priority the soonest due goes first.
-
-    What has run already goes before what is due as soon, as if it were due
-    earlier by the time that it ran: to share slots evenly among all would
-    finish each of them late.
+    Within a priority the earliest deadline goes first.  An item that has run
+    already is ranked as if its deadline were earlier by the time that it ran:
+    sharing slots evenly among all items would make each of them finish late.
     """
-    ran = upstream.run_seconds * item.done_share
+    run_so_far = upstream.run_seconds * item.done_share
     is_late = _is_late(upstream, item)
-    return (is_late, item.priority, item.seconds_left - ran)
+    return (is_late, item.priority, item.seconds_left - run_so_far)
 
 
 def _is_late(upstream: UpstreamView, item: ItemView) -> bool:
-    """Tell whether an item is late even if it runs now and is not long."""
-    left = max(0, 1 - item.done_share)
-    return item.seconds_left < upstream.run_seconds * left
+    """Check whether an item of mean length will be late even if it runs now."""
+    remaining = max(0, 1 - item.done_share)
+    return item.seconds_left < upstream.run_seconds * remaining
 
 
 def _choose_to_pause(
@@ -171,10 +169,10 @@
     upstream: UpstreamView,
     running: list[ItemView],
     waiting: list[ItemView],
-    room: int,
+    free_slots: int,
 ) -> tuple[Key, ...]:
     ranked = sorted(waiting, key=lambda item: _rank(upstream, item))
     urgent = sum(is_urgent(upstream, item) for item in ranked)
-    free = room - len(running)
-    against = min(urgent, URGENT_SLOTS - len(running))
-    return tuple(item.key for item in ranked[: max(free, against, 0)])
+    unused = free_slots - len(running)
+    held = min(urgent, URGENT_SLOTS - len(running))
+    return tuple(item.key for item in ranked[: max(unused, held, 0)])
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -1,9 +1,10 @@
 """Decides which upstream a request goes to.
 
-The load that it answers: crests in which questions take nearly all slots of
-all upstreams, before entries that do not ask each other.  What an entry hears
-with its own answers is seconds old there; the load that the process beside
-each upstream tells ten times a second, and what was sent since, is not.
+Addresses load peaks in which requests take nearly all slots of all upstreams,
+while entries choose independently of each other.  The load that an entry
+receives with its own answers is seconds old by then.  The load feed of each
+upstream's local process arrives ten times a second, and the entry adds what it
+has sent since the last report.
 """
 
 from __future__ import annotations
@@ -20,23 +21,24 @@
     from wigeonpier.models import QuestionLoad
 
 FAILURES_TO_EJECT = 3
-FIRST_EJECTION_SECONDS = 2.0
-LONGEST_EJECTION_SECONDS = 30.0
-LARGEST_EJECTED_SHARE = 0.5
+INITIAL_EJECTION_SECONDS = 2.0
+MAX_EJECTION_SECONDS = 30.0
+MAX_EJECTED_SHARE = 0.5
 RAMP_SECONDS = 5.0
-LEAST_RAMP = 0.1
-FAR_PENALTY = 0.3
-FAR_REGION_PENALTY = 2.0
+MIN_RAMP_SHARE = 0.1
+DATA_CENTRE_PENALTY = 0.3
+REGION_PENALTY = 2.0
 AFFINITY_CANDIDATES = 2
 AFFINITY_SLACK = 0.25
-REPORT_TRUST_SECONDS = 5.0
-# Ten lines a second are expected; after a second without one the process that
-# told them is gone or cut off.
-FEED_TRUST_SECONDS = 1.0
-# An upstream is back after some seconds; then it is told of anew, or tried.
-ENDED_SECONDS = 5.0
-# A report that arrives within it was sent before the crash.
-TOLD_LATE_SECONDS = 0.5
+MAX_REPORT_AGE_SECONDS = 5.0
+# The feed sends ten lines a second; after a second without one, the process
+# that sends it has exited or cannot be reached.
+FEED_TIMEOUT_SECONDS = 1.0
+# An upstream restarts within some seconds.  After this time it has been
+# reported again, or it is tried without a report.
+CRASH_HOLD_SECONDS = 5.0
+# A report that arrives this soon after a crash was sent before it.
+LATE_REPORT_SECONDS = 0.5
 
 
 @dataclass(slots=True)
@@ -47,22 +49,22 @@
     :param address: ``host:port`` of its local process.
     :param service: service that it is a replica of.
     :param models: models that it serves.
-    :param data_centre: where it stands.
+    :param data_centre: data centre that it runs in.
     :param region: region of its data centre.
-    :param slots: streams that it runs within its target.
-    :param in_hand: requests that this entry has there now.
-    :param reported: online requests that it reported last.
+    :param slots: streams that it can run within its latency target.
+    :param in_hand: requests of this entry in progress there.
+    :param reported: online requests in its last report.
     :param reported_at: when it reported, seconds.
-    :param sent_since: requests of this entry's that the report lacks.
+    :param sent_since: requests of this entry that the report lacks.
     :param fed_until: until when the report counts as fresh, seconds.
-    :param takes_work: whether the process beside it finds it well.
-    :param is_leaving: takes no new work.
-    :param failures: bad outcomes in a row.
-    :param ejections: times it was taken out since it was last well.
-    :param ejected_until: no work before then, seconds.
-    :param incarnation: grows with each start, 0 where it is not told.
+    :param takes_work: whether its local process reports it as healthy.
+    :param is_leaving: whether it is draining and gets no new requests.
+    :param failures: failed requests in a row.
+    :param ejections: ejections since it last recovered.
+    :param ejected_until: gets no requests before then, seconds.
+    :param incarnation: grows with each start, 0 where it is unknown.
     :param version: version of its software.
-    :param ended_at: when it was last known to have ended, seconds.
+    :param ended_at: when it was last known to have crashed, seconds.
     """
 
     name: str
@@ -84,22 +86,22 @@
     ejected_until: float = 0
     incarnation: int = 0
     version: str = ''
-    ended_at: float = -ENDED_SECONDS
+    ended_at: float = -CRASH_HOLD_SECONDS
 
     @property
     def start(self) -> str:
-        """Name the start that is known."""
+        """Identify the start that is known."""
         return name_start(self.name, self.incarnation)
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """What a request wants of an upstream.
+    """What a request requires of an upstream.
 
     :param service: service to reach.
     :param model: model to run, empty for any.
     :param affinity: hash of the prompt's start, empty for none.
-    :param data_centre: where the entry stands.
+    :param data_centre: data centre of the entry.
     :param region: region of the entry.
     :param excluded: upstreams that were tried already.
     """
@@ -118,24 +120,24 @@
     now: float,
     draw: random.Random,
 ) -> UpstreamState | None:
-    """Choose where a request goes.
+    """Choose the upstream of a request.
 
-    Two candidates are drawn and the less loaded one is taken.  Where the
-    prompt's start was seen before, the upstreams that its hash ranks first
-    are preferred as long as they are not much busier.
+    Two candidates are drawn at random and the less loaded one is used.  If the
+    start of the prompt was seen before, the upstreams that its hash ranks
+    first are preferred as long as they are not much busier.
 
-    :param upstreams: all that the entry knows.
-    :param ask: what the request wants.
+    :param upstreams: all upstreams that the entry knows.
+    :param ask: requirements of the request.
     :param now: seconds.
     :param draw: source of randomness.
-    :returns: the choice, ``None`` where no upstream may be used.
+    :returns: the upstream, ``None`` where none may be used.
     """
     usable = find_usable(upstreams, ask, now)
     if not usable:
         return None
     best = min(
         draw.sample(usable, min(len(usable), 2)),
-        key=lambda state: measure_cost(state, ask, now),
+        key=lambda state: estimate_cost(state, ask, now),
     )
     if not ask.affinity:
         return best
@@ -149,13 +151,13 @@
 ) -> list[UpstreamState]:
     """Find the upstreams that may get a request.
 
-    Never are all of them taken out for bad outcomes: where more than half
-    would be, those whose time is up soonest are used all the same.
+    At most half of the upstreams are left out because of failures.  If more
+    were ejected, those whose ejection ends soonest are used.
 
-    :param upstreams: all that the entry knows.
-    :param ask: what the request wants.
+    :param upstreams: all upstreams that the entry knows.
+    :param ask: requirements of the request.
     :param now: seconds.
-    :returns: candidates; none of them is leaving.
+    :returns: candidates, none of which is leaving.
     """
     serving = [
         state
@@ -163,78 +165,80 @@
         if state.service == ask.service
         and (not ask.model or ask.model in state.models)
         and not state.is_leaving
-        # The most that may be left out is of those that might work.
+        # Crashed upstreams do not count towards the share that may be ejected.
         and not has_ended(state, now)
     ]
-    left = [state for state in serving if state.name not in ask.excluded]
-    well = [state for state in left if _is_well(state, now)]
-    least = len(serving) - int(len(serving) * LARGEST_EJECTED_SHARE)
-    if len(well) >= min(least, len(left)):
-        return well
-    return sorted(left, key=lambda state: state.ejected_until)[:least]
+    remaining = [state for state in serving if state.name not in ask.excluded]
+    healthy = [state for state in remaining if _is_healthy(state, now)]
+    min_usable = len(serving) - int(len(serving) * MAX_EJECTED_SHARE)
+    if len(healthy) >= min(min_usable, len(remaining)):
+        return healthy
+    return sorted(remaining, key=lambda state: state.ejected_until)[:min_usable]
 
 
-def measure_cost(state: UpstreamState, ask: Ask, now: float) -> float:
+def estimate_cost(state: UpstreamState, ask: Ask, now: float) -> float:
     """Estimate how busy an upstream is, as a share of its slots.
 
-    A load that is fed counts as it is, with what was sent since.  Else the
-    entry's own count is exact; the report lags and only adds what other
-    entries have there, less and less as it ages.
+    A fresh load from the feed is used as it is, plus the requests sent since.
+    Otherwise the entry's own count is exact, and the last report only adds the
+    requests of other entries, with a weight that falls as the report ages.
 
     :param state: the upstream.
-    :param ask: what the request wants.
+    :param ask: requirements of the request.
     :param now: seconds.
-    :returns: load, with penalties for distance and for a fresh return.
+    :returns: load, with penalties for distance and for a recent ejection.
     """
     load = (count_requests(state, now) + 1) / max(1, state.slots)
-    back = now - state.ejected_until
-    if state.ejections and back < RAMP_SECONDS:
-        load /= max(LEAST_RAMP, back / RAMP_SECONDS)
+    since_return = now - state.ejected_until
+    if state.ejections and since_return < RAMP_SECONDS:
+        load /= max(MIN_RAMP_SHARE, since_return / RAMP_SECONDS)
     if state.region != ask.region:
-        return load + FAR_REGION_PENALTY
+        return load + REGION_PENALTY
     if state.data_centre != ask.data_centre:
-        return load + FAR_PENALTY
+        return load + DATA_CENTRE_PENALTY
     return load
 
 
 def count_requests(state: UpstreamState, now: float) -> float:
-    """Count the requests at an upstream, as far as the entry can know.
+    """Estimate the requests at an upstream.
 
     :param state: the upstream.
     :param now: seconds.
-    :returns: requests that do not give way to others.
+    :returns: requests, without those that are preempted for others.
     """
     if state.fed_until > now:
         return state.reported + state.sent_since
     age = now - state.reported_at
-    trust = max(0, 1 - age / REPORT_TRUST_SECONDS)
-    others = max(0, state.reported - state.in_hand) * trust
+    weight = max(0, 1 - age / MAX_REPORT_AGE_SECONDS)
+    others = max(0, state.reported - state.in_hand) * weight
     return state.in_hand + others
 
 
-def note_load(state: UpstreamState, told: QuestionLoad, now: float) -> None:
-    """Take in the load that the process beside an upstream tells.
+def note_load(state: UpstreamState, load: QuestionLoad, now: float) -> None:
+    """Update an upstream with a load from its local process.
 
-    :param state: changed in place; not by what is told of an earlier start.
-    :param told: the load.
+    :param state: changed in place, unless the load is of an earlier start.
+    :param load: the load.
     :param now: seconds.
     """
-    if is_earlier(told.incarnation, state.incarnation):
+    if is_earlier(load.incarnation, state.incarnation):
         return
-    if is_earlier(state.incarnation, told.incarnation):
+    if is_earlier(state.incarnation, load.incarnation):
         _forget_outcomes(state)
-        state.incarnation = told.incarnation
-    state.reported = told.questions
+        state.incarnation = load.incarnation
+    state.reported = load.questions
     state.reported_at = now
     state.sent_since = 0
-    state.fed_until = now + FEED_TRUST_SECONDS
-    state.takes_work = told.takes_work
-    if told.takes_work:
+    state.fed_until = now + FEED_TIMEOUT_SECONDS
+    state.takes_work = load.takes_work
+    if load.takes_work:
         note_return(state, now)
 
 
 def note_end(state: UpstreamState, now: float) -> None:
-    """Send nothing to an upstream whose process has ended, until it is back.
+    """Record that the process of an upstream has crashed.
+
+    It gets no requests until it is known to be back.
 
     :param state: changed in place.
     :param now: seconds.
@@ -243,30 +247,30 @@
 
 
 def note_return(state: UpstreamState, now: float) -> None:
-    """Take it that an upstream is there again, since it was told of.
+    """Record that an upstream was reported, which ends its time as crashed.
 
-    :param state: changed in place; not by what was told before its end.
+    :param state: changed in place, unless the report was sent before the crash.
     :param now: seconds.
     """
-    if now - state.ended_at >= TOLD_LATE_SECONDS:
-        state.ended_at = -ENDED_SECONDS
+    if now - state.ended_at >= LATE_REPORT_SECONDS:
+        state.ended_at = -CRASH_HOLD_SECONDS
 
 
 def has_ended(state: UpstreamState, now: float) -> bool:
-    """Tell whether an upstream is known to have ended, and not to be back.
+    """Check whether an upstream has crashed and is not known to be back.
 
     :param state: the upstream.
     :param now: seconds.
-    :returns: false again after a while, in which it is told of or gone.
+    :returns: false again after a while; by then it is reported or removed.
     """
-    return now - state.ended_at < ENDED_SECONDS
+    return now - state.ended_at < CRASH_HOLD_SECONDS
 
 
 def note_outcome(state: UpstreamState, went_well: bool, now: float) -> None:
-    """Take an upstream out after bad outcomes in a row, longer each time.
+    """Eject an upstream after failures in a row, longer each time.
 
     :param state: changed in place.
-    :param went_well: whether the upstream did its part.
+    :param went_well: whether the upstream handled the request correctly.
     :param now: seconds.
     """
     if went_well:
@@ -276,25 +280,26 @@
         return
     state.failures += 1
     if state.failures >= FAILURES_TO_EJECT:
-        pause = FIRST_EJECTION_SECONDS * 2**state.ejections
-        state.ejected_until = now + min(pause, LONGEST_EJECTION_SECONDS)
+        ejection_seconds = INITIAL_EJECTION_SECONDS * 2**state.ejections
+        state.ejected_until = now + min(ejection_seconds, MAX_EJECTION_SECONDS)
         state.ejections += 1
         state.failures = 0
 
 
 def _forget_outcomes(state: UpstreamState) -> None:
-    """Forget what an earlier start did; whether it leaves stays known.
+    """Clear the failures of an earlier start.
 
-    Only the register says that the later start takes work.
+    ``is_leaving`` stays: only the register can say that the new start accepts
+    requests.
     """
     state.failures = 0
     state.ejections = 0
     state.ejected_until = 0
 
 
-def _is_well(state: UpstreamState, now: float) -> bool:
-    is_refused = state.fed_until > now and not state.takes_work
-    return state.ejected_until <= now and not is_refused
+def _is_healthy(state: UpstreamState, now: float) -> bool:
+    reports_unhealthy = state.fed_until > now and not state.takes_work
+    return state.ejected_until <= now and not reports_unhealthy
 
 
 def _prefer_cached(
@@ -304,8 +309,8 @@
     now: float,
 ) -> UpstreamState:
     by_name = {state.name: state for state in usable}
-    bound = measure_cost(best, ask, now) + AFFINITY_SLACK
+    bound = estimate_cost(best, ask, now) + AFFINITY_SLACK
     for name in rank_by_key(list(by_name), ask.affinity)[:AFFINITY_CANDIDATES]:
-        if measure_cost(by_name[name], ask, now) <= bound:
+        if estimate_cost(by_name[name], ask, now) <= bound:
             return by_name[name]
     return best
--- a/src/wigeonpier/policy/suspicion.py
+++ b/src/wigeonpier/policy/suspicion.py
@@ -1,21 +1,23 @@
-"""Decides how a request is treated under which upstreams have ended.
-
-The load that it answers: a request that ends each upstream that runs it, by a
-fault in the engine, and whose caller comes back with it at any entry.  Each
-end takes an upstream away for seconds, and up to all of its slots' requests
-are lost with the culprit: of a handful that share one end, one is guilty.
-
-So nobody is blamed for one end.  Its requests are run again at once, apart
-from each other, which clears all but the culprit: whatever runs to its end is
-cleared.  Who has met a second end runs alone, one at a time, beside nobody who
-is suspected; if the upstream ends under it once more, it is refused.  What a
-refused request has ended is no longer held against those that ran with it.
-
-Where upstreams end without it as well, one end alone proves less: among three
-upstreams that ended ten times in 8 s, three innocent questions of the same
-content were refused.  Two are needed then.  An end proves something only before
-the run's first event: the longer a run lasts, the likelier it is that its
-upstream ends for another reason.
+"""Decides how a request may run, given the upstreams that crashed under it.
+
+Addresses a request that crashes each upstream that runs it, through a fault in
+the engine, while its caller retries it at any entry.  Each crash removes an
+upstream for seconds, and the requests in all of its slots are lost with the
+cause: of the requests that share one crash, only one has caused it.
+
+One crash therefore proves nothing.  Its requests run again at once, apart from
+each other, and each request that completes is cleared.  A request with a
+second crash runs alone: one at a time, without any other suspected request at
+its upstream.  If that upstream crashes too, the request is refused.  Crashes
+that a refused request has caused no longer count against the requests that ran
+beside it.
+
+Where upstreams crash without the request as well, one crash of a lone run is
+weaker evidence: among three upstreams that crashed ten times in 8 s, three
+innocent requests with the same content were refused.  Two such crashes are
+needed then.  A crash counts as evidence only before the first event of the
+run: the longer a run lasts, the likelier its upstream crashes for another
+reason.
 """
 
 from __future__ import annotations
@@ -27,24 +29,25 @@
 if TYPE_CHECKING:
     from collections.abc import Set
 
-# By the second end, chance is likelier than not to have met the wrong one in
-# a service that loses several upstreams a second; three ends with one of them
-# alone, or four, is a culprit.
+# In a service that loses several upstreams a second, a second crash is more
+# likely to be chance than not.  Three crashes with one of them alone, or four,
+# identify a cause.
 CRASHES_BEFORE_ISOLATION = 2
 CRASHES_TO_QUARANTINE = 3
-CRASHES_TO_QUARANTINE_WITHOUT_PROOF = 4
-PROOFS = 1
-# A run that goes on from where the last one ended, and produces more, has got
-# past what it was suspected of.
-LATE_WEIGHT = 0.5
-# Where other upstreams ended within so many seconds, unexplained.
+CRASHES_TO_QUARANTINE_WITHOUT_LONE = 4
+LONE_CRASHES_TO_QUARANTINE = 1
+# Weight of crashes after the first output: a run that resumes where the last
+# one stopped, and produces more, has passed the point that it was suspected of.
+WEIGHT_AFTER_OUTPUT = 0.5
+# A service is unstable for this time after an unexplained crash of another
+# upstream.
 RESTLESS_SECONDS = 10.0
-RESTLESS_PROOFS = 2
-RESTLESS_CRASHES_WITHOUT_PROOF = 6
-# Callers come back for hours; a request that is not seen for so long, or that
-# an engine of another version may run, is tried alone once more.
+UNSTABLE_LONE_CRASHES_TO_QUARANTINE = 2
+UNSTABLE_CRASHES_WITHOUT_LONE = 6
+# Callers retry for hours.  A request that was not seen for this long, or that
+# an engine of another version could run, is tried once more.
 MEMORY_SECONDS = 3600.0
-# Refused requests that come back are published this often.
+# Refused requests that callers retry are published at this interval.
 RENEW_SECONDS = 60.0
 
 
@@ -59,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """An upstream that ended while a request was there.
+    """A crash of an upstream while a request ran there.
 
     :param upstream: its start, by id and incarnation.
     :param version: version of its software.
-    :param at: when, seconds of this process's steady clock.
+    :param at: when, seconds of this process's monotonic clock.
     :param was_alone: whether no other suspected request ran there.
-    :param had_output: whether its run there had produced events.
+    :param had_output: whether the run of the request had produced events.
     """
 
     upstream: str
@@ -77,11 +80,11 @@
 
 @dataclass(slots=True)
 class Suspect:
-    """What is held against one request.
+    """The crashes that count against one request.
 
-    :param ends: what ended while it was there, oldest first.
-    :param kept_at: when it was last told of, seconds of the steady clock.
-    :param is_culprit: whether upstreams are known to end because of it.
+    :param ends: upstreams that crashed while it ran there, oldest first.
+    :param kept_at: when it was last reported, seconds of the monotonic clock.
+    :param is_culprit: whether it is known to crash upstreams.
     """
 
     ends: list[End] = field(default_factory=list)
@@ -89,10 +92,10 @@
     is_culprit: bool = False
 
     def add(self, end: End) -> bool:
-        """Hold one more end against it.
+        """Add a crash.
 
-        :param end: the end; that of the same start may be told twice.
-        :returns: whether it is news.
+        :param end: the crash; the same start may be reported twice.
+        :returns: whether it adds information.
         """
         self.kept_at = max(self.kept_at, end.at)
         known = [one for one in self.ends if one.upstream == end.upstream]
@@ -103,10 +106,10 @@
         return True
 
     def is_forgotten(self, now: float) -> bool:
-        """Tell whether it was not seen for too long.
+        """Check whether the request was not seen for too long.
 
-        :param now: seconds of the steady clock.
-        :returns: true where nothing is held against it any more.
+        :param now: seconds of the monotonic clock.
+        :returns: true where nothing counts against it any more.
         """
         return not self.ends or now - self.kept_at > MEMORY_SECONDS
 
@@ -114,10 +117,10 @@
 def judge_request(suspect: Suspect | None, versions: Set[str]) -> Standing:
     """Decide how a request may be run.
 
-    :param suspect: what is held against it, ``None`` for nothing.
-    :param versions: of the software of the upstreams that could run it.
-    :returns: its standing; one that would be refused is tried alone where
-        there is a version that has not ended under it.
+    :param suspect: crashes that count against it, ``None`` for none.
+    :param versions: software versions of the upstreams that could run it.
+    :returns: how it may run; a request that would be refused is tried alone
+        if one of the versions has not crashed under it.
     """
     if suspect is None or not suspect.ends:
         return Standing.free
@@ -129,24 +132,26 @@
     return Standing.apart
 
 
-def is_proved(suspect: Suspect, other_ends: int) -> bool:
-    """Tell whether upstreams end because of a request.
+def is_proved(suspect: Suspect, other_crashes: int) -> bool:
+    """Check whether a request is the cause of its crashes.
 
-    :param suspect: what is held against it.
-    :param other_ends: upstreams that ended of late without it, and without
+    :param suspect: crashes that count against it.
+    :param other_crashes: recent crashes of upstreams without it, and without
         any request that is known to be the cause.
-    :returns: true after three ends, one of them alone and before any output,
-        or after four; where others end too, two of them so, or after six.
-        Ends after the first output count half.
+    :returns: true after three crashes, one of them alone and before any
+        output, or after four; in an unstable service after three, two of them
+        so, or after six.  Crashes after the first output count half.
     """
     early = [end for end in suspect.ends if not end.had_output]
     late = len(suspect.ends) - len(early)
-    count = len(early) + LATE_WEIGHT * late
-    proofs = sum(end.was_alone for end in early)
-    if other_ends:
-        is_shown = proofs >= RESTLESS_PROOFS
-        most = RESTLESS_CRASHES_WITHOUT_PROOF
+    count = len(early) + WEIGHT_AFTER_OUTPUT * late
+    lone = sum(end.was_alone for end in early)
+    if other_crashes:
+        has_lone_evidence = lone >= UNSTABLE_LONE_CRASHES_TO_QUARANTINE
+        max_without_lone = UNSTABLE_CRASHES_WITHOUT_LONE
     else:
-        is_shown = proofs >= PROOFS
-        most = CRASHES_TO_QUARANTINE_WITHOUT_PROOF
-    return count >= most or (count >= CRASHES_TO_QUARANTINE and is_shown)
+        has_lone_evidence = lone >= LONE_CRASHES_TO_QUARANTINE
+        max_without_lone = CRASHES_TO_QUARANTINE_WITHOUT_LONE
+    return count >= max_without_lone or (
+        count >= CRASHES_TO_QUARANTINE and has_lone_evidence
+    )
--- a/tests/policy/test_crests.py
+++ b/tests/policy/test_crests.py
@@ -7,7 +7,7 @@
 from tests.builders import build_upstream
 from tests.policy.crests import ASK, Crests
 from wigeonpier.models import QuestionLoad
-from wigeonpier.policy.route import find_usable, measure_cost, note_load
+from wigeonpier.policy.route import estimate_cost, find_usable, note_load
 
 
 @pytest.mark.parametrize(('rate', 'most'), [(125, 0.03), (145, 0.09)])
@@ -22,10 +22,10 @@
 def test_what_was_sent_since_counts() -> None:
     state = build_upstream('vm-1', in_hand=5)
     note_load(state, QuestionLoad(2, takes_work=True), 10.0)
-    before = measure_cost(state, ASK, now=10.0)
+    before = estimate_cost(state, ASK, now=10.0)
     state.sent_since += 1
     assert before == 3 / 8
-    assert measure_cost(state, ASK, now=10.0) == 4 / 8
+    assert estimate_cost(state, ASK, now=10.0) == 4 / 8
 
 
 def test_a_load_that_is_not_told_any_more_is_not_trusted() -> None:
--- a/tests/policy/test_route.py
+++ b/tests/policy/test_route.py
@@ -10,12 +10,12 @@
 from tests.builders import build_upstream
 from wigeonpier.models import QuestionLoad
 from wigeonpier.policy.route import (
-    ENDED_SECONDS,
-    TOLD_LATE_SECONDS,
+    CRASH_HOLD_SECONDS,
+    LATE_REPORT_SECONDS,
     Ask,
     choose_upstream,
+    estimate_cost,
     find_usable,
-    measure_cost,
     note_end,
     note_load,
     note_outcome,
@@ -81,14 +81,14 @@
     for _ in range(3):
         note_outcome(state, went_well=False, now=0)
     back = state.ejected_until
-    costs = [measure_cost(state, ASK, back + wait) for wait in (0.1, 2, 6)]
+    costs = [estimate_cost(state, ASK, back + wait) for wait in (0.1, 2, 6)]
     assert costs[0] > costs[1] > costs[2]
 
 
 def test_the_own_count_goes_before_an_old_report() -> None:
     state = build_upstream('vm-1', in_hand=2, reported=20, reported_at=0.0)
-    fresh = measure_cost(state, ASK, now=0.0)
-    old = measure_cost(state, ASK, now=30.0)
+    fresh = estimate_cost(state, ASK, now=0.0)
+    old = estimate_cost(state, ASK, now=30.0)
     assert fresh > old == (2 + 1) / 8
 
 
@@ -119,7 +119,7 @@
     upstreams = _build(parts)
     for state in upstreams[:4]:
         note_end(state, 10.0)
-    for now in (10.0, 10.0 + ENDED_SECONDS - 0.1):
+    for now in (10.0, 10.0 + CRASH_HOLD_SECONDS - 0.1):
         usable = find_usable(upstreams, ASK, now)
         assert {state.name for state in usable} == {'vm-4', 'vm-5'}
 
@@ -131,5 +131,5 @@
     load = QuestionLoad(0, takes_work=True)
     note_load(state, load, 10.05)
     assert not find_usable([state], ASK, 10.1)
-    note_load(state, load, 10.0 + TOLD_LATE_SECONDS)
+    note_load(state, load, 10.0 + LATE_REPORT_SECONDS)
     assert find_usable([state], ASK, 10.6)
--- a/tests/policy/test_suspicion.py
+++ b/tests/policy/test_suspicion.py
@@ -9,7 +9,7 @@
 from wigeonpier.policy.suspicion import (
     CRASHES_BEFORE_ISOLATION,
     MEMORY_SECONDS,
-    RESTLESS_PROOFS,
+    UNSTABLE_LONE_CRASHES_TO_QUARANTINE,
     End,
     Standing,
     Suspect,
@@ -146,7 +146,9 @@
 
 def test_who_ends_each_upstream_is_convicted_among_restless_ones() -> None:
     suspect = Suspect()
-    for number in range(CRASHES_BEFORE_ISOLATION + RESTLESS_PROOFS):
+    for number in range(
+        CRASHES_BEFORE_ISOLATION + UNSTABLE_LONE_CRASHES_TO_QUARANTINE
+    ):
         assert not suspect.is_culprit
         was_alone = judge_request(suspect, V1) is Standing.alone
         suspect.add(End(f'i-{number}', 'v1', float(number), was_alone))
