--- a/src/wigeonpier/policy/allowance.py
+++ b/src/wigeonpier/policy/allowance.py
@@ -1,15 +1,15 @@
-"""Decides whether one more request of a customer fits into its limit.
-
-The load that it answers: a customer whose callers come to dozens of entries,
-in crests of five times the troughs, sometimes with many times its usual, while
-none of the entries sees what the others admit at the same moment.  What is
-told of them is some 0.1 s old.  Below the limit a refusal is worth lost; above
-it the limit is broken.
-
-While what may come unseen fits into the room that is left, everything is
-admitted.  Near the limit each entry estimates by its own demand and its part
-of the customer's requests what all of them are asked for meanwhile, and admits
-at random as much of its own as all together have room for.
+"""Decides whether one more request of a customer fits its limit.
+
+Addresses a customer whose callers reach dozens of entries, with peaks of five
+times the troughs and sometimes many times its usual load, while no entry sees
+what the others admit at the same moment: their counts arrive some 0.1 s late.
+A refusal below the limit loses a valid request; admitting too much breaks the
+limit.
+
+As long as the requests that may arrive uncounted fit into the remaining room,
+all are admitted.  Near the limit each entry uses its own demand and its share
+of the customer's requests to estimate the demand at all entries, and admits at
+random the fraction that all entries together have room for.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 import math
 from dataclasses import dataclass
 
-# Age of counts when they arrive.
+# Age of the counts of other entries when they arrive.
 UNSEEN_SECONDS = 0.15
-# Demand that nobody has counted yet is estimated for twice as long, since it
-# rises when it matters most.
-FORESEEN_SECONDS = 2 * UNSEEN_SECONDS
-# While this share of a limit is left nothing is refused: the demand of a calm
-# customer at other entries cannot be estimated from a few requests.
-FREE_SHARE = 0.3
-# Share of the tolerance beyond a limit that makes up for requests refused below
+# Uncounted demand is estimated for twice as long, since demand rises exactly
+# when the estimate matters.
+FORECAST_SECONDS = 2 * UNSEEN_SECONDS
+# Nothing is refused while this share of a limit is left: the demand of a
+# low-traffic customer at other entries cannot be estimated from a few requests.
+UNRESTRICTED_SHARE = 0.3
+# Share of the tolerance above a limit that makes up for requests refused below
 # it, since counts of other entries arrive late.
 MARGIN_SHARE = 0.5
-# Length of the window over which demand is measured.
+# Window over which demand is measured.
 DEMAND_SECONDS = 0.5
-# Share of a limit that is assumed to be requested elsewhere, so that an entry
-# with few requests does not take its part for exact.
+# Share of a limit that is assumed to be requested at other entries, so that an
+# entry with few requests does not overestimate its part.
 ASSUMED_SHARE = 0.25
-# Of the slack, while counts of before may be lost.
-UNSURE_SLACK_SHARE = 0.5
+# Share of the slack that is used while earlier counts may be lost.
+UNCERTAIN_SLACK_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """What a customer may have in a span.
+    """Limit of a customer's requests in a span.
 
     :param rate: requests a second.
-    :param burst: requests on top.
+    :param burst: additional requests in a span.
     :param seconds: length of the span.
-    :param overage: part of the limit that is borne beyond it.
-    :param slack: requests that are borne besides.
+    :param overage: tolerance above the limit, as a share of it.
+    :param slack: tolerance above the limit, as a number of requests.
     """
 
     rate: float
@@ -56,12 +56,12 @@
 
     @property
     def requests(self) -> float:
-        """Give the requests of a span."""
+        """Return the requests that a span allows."""
         return self.rate * self.seconds + self.burst
 
     @property
     def margin(self) -> float:
-        """Give the requests beyond it that this policy makes use of."""
+        """Return the requests above the limit that this policy makes use of."""
         return MARGIN_SHARE * (self.overage * self.requests + self.slack)
 
 
@@ -69,12 +69,12 @@
 class Use:
     """What an entry knows of a customer's requests.
 
-    :param told: requests of all entries in the span, as they were told.
-    :param unseen: requests of this entry that may lack in it.
+    :param told: requests of all entries in the span, as reported.
+    :param unseen: requests of this entry that the report may lack.
     :param own: requests of this entry in the span.
-    :param demand: requests a second that came here of late, refused ones and
-        the one that is decided on too.
-    :param certainty: how much of the span what is told covers, from 0 to 1.
+    :param demand: requests a second that arrived here recently, including
+        refused ones and the current one.
+    :param certainty: share of the span that the reports cover, from 0 to 1.
     """
 
     told: float
@@ -85,9 +85,9 @@
 
 
 def estimate_admission(limit: Limit, use: Use) -> float:
-    """Estimate with which probability a request is to be admitted.
+    """Estimate the probability with which to admit a request.
 
-    :param limit: what the customer may have.
+    :param limit: limit of the customer.
     :param use: what is known of its requests.
     :returns: from 0 to 1.
     """
@@ -95,35 +95,35 @@
     room = max(1, allowed) - use.told - use.unseen
     if room <= 0:
         return 0
-    if room >= allowed * FREE_SHARE:
+    if room >= allowed * UNRESTRICTED_SHARE:
         return 1
-    coming = use.demand / _estimate_part(limit, use) * FORESEEN_SECONDS
-    return 1 if coming <= room else room / coming
+    expected = use.demand / _estimate_own_share(limit, use) * FORECAST_SECONDS
+    return 1 if expected <= room else room / expected
 
 
-def _estimate_part(limit: Limit, use: Use) -> float:
-    """Estimate which part of the customer's requests comes to this entry."""
+def _estimate_own_share(limit: Limit, use: Use) -> float:
+    """Estimate the share of the customer's requests that reaches this entry."""
     own = use.own + 1
     return own / max(own, use.told + ASSUMED_SHARE * limit.requests)
 
 
 def _limit_requests(limit: Limit, certainty: float) -> float:
-    """Limit requests while what was admitted before may be forgotten.
+    """Compute the allowed requests where earlier counts may be lost.
 
-    Where all processes were lost a customer may have had its whole span just
-    before; then it has its rate, and no burst, until the span is over.
+    If all processes were lost, a customer may have used its whole span just
+    before.  Then it gets its rate without burst until the span is over.
     """
     if certainty >= 1:
         return limit.requests + limit.margin
-    unsure = (1 - certainty) * limit.slack * UNSURE_SLACK_SHARE
-    return limit.requests * certainty + unsure
+    slack = (1 - certainty) * limit.slack * UNCERTAIN_SLACK_SHARE
+    return limit.requests * certainty + slack
 
 
 def measure_certainty(covered: list[float], span: float) -> float:
-    """Measure how much of a span is known from those who count.
+    """Compute how much of a span is covered by the reports of all counters.
 
-    :param covered: of each of them, since when its counts are known here,
-        seconds; 0 for who is not heard now.
+    :param covered: per counting process, since when its counts are known here,
+        seconds; 0 for a process that is not reporting.
     :param span: length of the span, seconds.
     :returns: from 0 to 1.
     """
--- a/src/wigeonpier/policy/attempts.py
+++ b/src/wigeonpier/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Decides what becomes of a batch item from what its journal says."""
+"""Decides what happens to a batch item, given the records of its journal."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 class Ledger:
     """What is durably known of one item.
 
-    :param is_open: begun and neither released, failed nor ended.
-    :param was_alone: the open attempt ran alone.
+    :param is_open: begun and neither released, failed nor completed.
+    :param was_alone: the open attempt runs alone.
     :param losses: attempts during which the owner or upstream was lost.
-    :param lone_losses: those of them in which it ran alone.
+    :param lone_losses: those of them in which the item ran alone.
     :param failures: attempts that the upstream answered with a failure.
-    :param last_reason: what the upstream said last.
-    :param outcome: the item's one result.
+    :param last_reason: reason that the upstream gave for the last failure.
+    :param outcome: the item's only result.
     """
 
     is_open: bool = False
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How often an item is tried.
+    """How often an item is attempted.
 
     :param failures: most failed attempts.
     :param lone_losses: most losses while it ran alone.
@@ -60,10 +60,10 @@
 
 @dataclass(slots=True)
 class Journal:
-    """What one segment says.
+    """State of one segment of a journal.
 
-    :param ledgers: one an item; empty where no snapshot is whole.
-    :param is_ready: whether the snapshot at its start is whole.
+    :param ledgers: one per item; empty if no snapshot is complete.
+    :param is_ready: whether the snapshot at its start is complete.
     """
 
     ledgers: list[Ledger] = field(default_factory=list)
@@ -71,10 +71,10 @@
 
 
 def apply_record(ledger: Ledger, record: Record) -> None:
-    """Bring a ledger up to date with one record.
+    """Apply a record to the ledger of its item.
 
-    :param ledger: ledger of the record's item, changed in place.
-    :param record: what was written.
+    :param ledger: changed in place.
+    :param record: the record.
     """
     match record:
         case Begin(alone=alone):
@@ -89,15 +89,15 @@
             ledger.last_reason = reason
         case Outcome():
             ledger.is_open = False
-            # The first result stands; a second one would be a change.
+            # Keep the first result; a later one must not replace it.
             ledger.outcome = ledger.outcome or record
 
 
 def fold_segment(records: Iterable[Record], items: int) -> Journal:
-    """Read one segment from its start.
+    """Replay one segment from its start.
 
-    :param records: its sound records in order.
-    :param items: how many items the chunk has.
+    :param records: its valid records in order.
+    :param items: number of items in the chunk.
     :returns: ledgers as of its end.
     """
     journal = Journal([Ledger() for _ in range(items)])
@@ -110,7 +110,7 @@
 
 
 def note_loss(ledger: Ledger) -> None:
-    """Note that an item has lost its owner or upstream, if it was open.
+    """Record that an item has lost its owner or upstream, if it was open.
 
     :param ledger: its ledger, changed in place.
     """
@@ -125,8 +125,8 @@
 
     :param ledger: what is known of it.
     :param idempotent: whether it may run more than once.
-    :param bounds: how often it is tried.
-    :returns: the step.
+    :param bounds: how often it is attempted.
+    :returns: the next step.
     """
     if ledger.outcome is not None:
         return Step.nothing
@@ -142,17 +142,17 @@
 
 
 def write_snapshot(index: int, ledger: Ledger) -> list[Record]:
-    """Say in records what a ledger knows, for a new segment.
+    """Express a ledger as records, for a new segment.
 
     :param index: position of the item.
     :param ledger: its ledger.
-    :returns: records that fold to the same ledger.
+    :returns: records that replay to an equivalent ledger.
     """
     if ledger.outcome is not None:
         return [ledger.outcome]
     records: list[Record] = []
     for loss in range(ledger.losses):
-        # A begin on top of a begin counts the first one as lost.
+        # A begin while an attempt is open counts that attempt as lost.
         records.append(Begin(index, loss < ledger.lone_losses))
     if ledger.losses:
         records += [Begin(index, alone=False), Release(index)]
--- a/src/wigeonpier/policy/ratelimit.py
+++ b/src/wigeonpier/policy/ratelimit.py
@@ -1,9 +1,9 @@
-"""Decides whether requests of a customer fit into its limits, at one place.
+"""Decides whether requests of a customer fit its limits, in a single place.
 
-The load that it answers: a customer whose callers reach many entries at the
-same moment.  Entries that each decide by what the others reported some time
-ago admit the same room twice, and entries that split the limit refuse what the
-others leave unused.  One entry, the owner, counts for all of them here.
+Addresses a customer whose callers reach many entries at the same moment.
+Entries that each decide by outdated reports of the others admit the same free
+capacity twice, and entries that split the limit refuse requests while other
+shares are unused.  Here one entry, the owner, counts for all of them.
 
 An owner that is new to a customer learns from each entry what that entry has
 admitted in the window, with its first call or its last heartbeat.
@@ -27,15 +27,16 @@
     time_until_available,
 )
 
-# The limit of requests holds in any span of this length, or of one that has
-# room for a single request.
+# The request limit holds in any span of this length, or of one that has room
+# for a single request.
 WINDOW_SECONDS = 2.0
-# Above this share of the concurrent requests, an entry reports each that ends.
+# Above this share of the concurrency limit, an entry reports each request that
+# ends.
 TIGHT_SHARE = 0.5
 
 
 class Exhausted(StrEnum):
-    """Which limit keeps a request from being admitted."""
+    """The limit that keeps a request from being admitted."""
 
     nothing = ''
     requests = 'requests_per_second'
@@ -45,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What a customer may use over all entries.
+    """Limits of a customer over all entries.
 
     :param requests: requests a second.
-    :param tokens: tokens of answers a second.
+    :param tokens: answer tokens a second.
     :param concurrent: requests in progress.
     """
 
@@ -58,25 +59,25 @@
 
     @property
     def window_seconds(self) -> float:
-        """Give the length of the window of requests."""
+        """Return the length of the request window."""
         return max(WINDOW_SECONDS, 1 / self.requests)
 
     @property
     def window_requests(self) -> float:
-        """Give the requests that fit into the window."""
+        """Return the requests that fit into the window."""
         return self.requests * self.window_seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What an entry asks for, and what it used since it last did.
+    """A call of an entry to the owner: requests to admit, and usage to report.
 
     :param entry: address of the entry.
     :param requests: requests to admit, 0 for a report.
     :param elsewhere: requests that the entry admitted in the window without
         this owner.
-    :param in_progress: requests in progress at the entry, this one too.
-    :param tokens: tokens of answers that were not reported before.
+    :param in_progress: requests in progress at the entry, including this one.
+    :param tokens: answer tokens that were not reported before.
     """
 
     entry: str
@@ -92,7 +93,7 @@
 
     :param exhausted: the limit that is reached, if any.
     :param retry_after: seconds until the request would be admitted, 0 where
-        that is not known.
+        that is unknown.
     :param is_tight: whether requests that end are to be reported at once.
     :param total: requests of all entries in the window.
     """
@@ -107,11 +108,11 @@
 class OwnedAccount:
     """What the owner has counted for one customer.
 
-    :param tokens: bucket of tokens of answers.
+    :param tokens: bucket of answer tokens.
     :param admitted: requests that this owner admitted.
     :param elsewhere: requests that entries admitted without it, by entry.
     :param in_progress: requests in progress, by entry.
-    :param used_at: when it was last asked about, seconds.
+    :param used_at: time of the last call for this customer, seconds.
     """
 
     tokens: Bucket
@@ -122,19 +123,19 @@
 
     @property
     def windows(self) -> list[Window]:
-        """List all that was admitted."""
+        """List the windows of all admitted requests."""
         return [self.admitted, *self.elsewhere.values()]
 
     def count_admitted(self, now: float) -> float:
         """Count the requests in the window.
 
         :param now: seconds.
-        :returns: those of all entries.
+        :returns: requests of all entries.
         """
         return sum(sum_spent(window, now) for window in self.windows)
 
     def note_elsewhere(self, entry: str, requests: float, now: float) -> None:
-        """Count what an entry admitted without this owner.
+        """Count requests that an entry admitted without this owner.
 
         :param entry: address of the entry.
         :param requests: how many in the window.
@@ -154,7 +155,7 @@
 def open_account(limit: RateLimit, now: float) -> OwnedAccount:
     """Open an account with a full bucket.
 
-    :param limit: what the customer may use.
+    :param limit: limits of the customer.
     :param now: seconds.
     :returns: the account.
     """
@@ -167,11 +168,11 @@
     demand: Demand,
     now: float,
 ) -> Decision:
-    """Decide on a request, and count it where it is admitted.
+    """Decide on a request, and count it if it is admitted.
 
     :param account: changed in place.
-    :param limit: what the customer may use.
-    :param demand: what an entry asks for.
+    :param limit: limits of the customer.
+    :param demand: call of an entry.
     :param now: seconds.
     :returns: the decision.
     """
@@ -181,8 +182,8 @@
     account.in_progress[demand.entry] = demand.in_progress
     fill_bucket(account.tokens, limit.tokens, now)
     account.tokens.tokens -= demand.tokens
-    busy = sum(account.in_progress.values())
-    is_tight = busy > limit.concurrent * TIGHT_SHARE
+    in_progress = sum(account.in_progress.values())
+    is_tight = in_progress > limit.concurrent * TIGHT_SHARE
     if not demand.requests:
         total = account.count_admitted(now)
         return Decision(is_tight=is_tight, total=total)
@@ -196,9 +197,9 @@
 
 
 def limit_alone(limit: RateLimit, entries: int) -> RateLimit:
-    """Limit what one entry admits while the owner is out of reach.
+    """Compute what one entry may admit while the owner is unreachable.
 
-    :param limit: what the customer may use over all entries.
+    :param limit: limits of the customer over all entries.
     :param entries: how many entries there may be.
     :returns: an equal share.
     """
@@ -211,12 +212,12 @@
 
 
 def admission_chance(limit: RateLimit, entries: int) -> float:
-    """Give the chance of a request where a share has no room for a whole one.
+    """Compute the probability of admission if a share is below one request.
 
-    Entries that each admitted their first request would exceed the limit
-    together as soon as there are more of them than requests in the window.
+    Entries that each admitted their first request would together exceed the
+    limit as soon as they outnumber the requests in the window.
 
-    :param limit: what the customer may use over all entries.
+    :param limit: limits of the customer over all entries.
     :param entries: how many entries there may be.
     :returns: from 0 to 1.
     """
--- a/src/wigeonpier/policy/reservation.py
+++ b/src/wigeonpier/policy/reservation.py
@@ -19,7 +19,7 @@
 
 from dataclasses import dataclass
 
-from wigeonpier.policy.waiting import LATE_SHARE, LEFT_TO_OTHERS
+from wigeonpier.policy.waiting import LATE_SHARE, SLOTS_LEFT_TO_OTHERS
 
 # Upstreams that are asked in one round; in the model 0.031 late with one,
 # 0.009 with two, 0.006 with three, 0.010 with four at a high load.
@@ -62,7 +62,7 @@
     """
     slots = use.slots
     if is_late:
-        slots = max(1, slots - LEFT_TO_OTHERS)
+        slots = max(1, slots - SLOTS_LEFT_TO_OTHERS)
     return use.questions + use.reserved < slots
 
 
--- a/src/wigeonpier/policy/trial.py
+++ b/src/wigeonpier/policy/trial.py
@@ -1,8 +1,8 @@
 """Decides whether a suspected request may run at an upstream.
 
-The load that it answers: a handful of requests that were lost with an
-upstream, of which one ends the next one too.  Run side by side they would be
-lost together again, and the innocent could not be told from the culprit.
+Addresses a few requests that were lost with an upstream, one of which crashes
+the next one too.  If they ran side by side they would be lost together again,
+and the cause could not be told from the others.
 """
 
 from __future__ import annotations
@@ -10,17 +10,18 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-# A run without news for so long has ended elsewhere, or is a long
-# one that will do no harm any more: upstreams end within 0.1 s of its begin.
+# A run without updates for this long has ended elsewhere, or is a long one that
+# will not crash its upstream any more: upstreams crash within 0.1 s of its
+# start.
 LONGEST_SECONDS = 3.0
 
 
 class Company(StrEnum):
-    """What other suspected requests a run bears beside it.
+    """Which other suspected requests may run beside a run.
 
-    What runs alone bears nobody.  What runs apart begins where nobody is, and
-    bears who finds no other place later; what finds none bears anybody but
-    those that run alone.
+    A run that is alone allows none.  A run that is apart starts where there is
+    no other, and allows those that find no other upstream later.  A run that
+    finds no free upstream allows all but those that are alone.
     """
 
     nobody = 'nobody'
@@ -40,8 +41,8 @@
 class Trial:
     """One run of a suspected request.
 
-    :param company: what it bears beside it.
-    :param since: when it was granted, seconds of the steady clock.
+    :param company: which others may run beside it.
+    :param since: when it was granted, seconds of the monotonic clock.
     """
 
     company: Company
@@ -58,44 +59,44 @@
     trials: dict[str, Trial] = field(default_factory=dict)
 
     def ask(self, fingerprint: str, company: Company, now: float) -> Verdict:
-        """Ask whether a suspected request may run.
+        """Check whether a suspected request may run.
 
         :param fingerprint: the request.
-        :param company: what it bears beside it.
-        :param now: seconds of the steady clock.
-        :returns: whether it may; the same request never runs twice here.
+        :param company: which others may run beside it.
+        :param now: seconds of the monotonic clock.
+        :returns: the verdict; the same request never runs twice here.
         """
         self._forget_old(now)
         if fingerprint in self.trials:
             return Verdict.running
         others = self.trials.values()
-        has_lone = any(other.company is Company.nobody for other in others)
-        if has_lone or (others and company is not Company.anybody):
+        has_lone_run = any(other.company is Company.nobody for other in others)
+        if has_lone_run or (others and company is not Company.anybody):
             return Verdict.occupied
         return Verdict.granted
 
     def enter(self, fingerprint: str, company: Company, now: float) -> None:
-        """Note that a suspected request is on its way.
+        """Record that a suspected request was sent here.
 
         :param fingerprint: the request.
-        :param company: what it bears beside it.
-        :param now: seconds of the steady clock.
+        :param company: which others may run beside it.
+        :param now: seconds of the monotonic clock.
         """
         self.trials[fingerprint] = Trial(company, now)
 
     def leave(self, fingerprint: str) -> None:
-        """Note that a suspected request runs here no more.
+        """Record that a suspected request no longer runs here.
 
         :param fingerprint: the request.
         """
         self.trials.pop(fingerprint, None)
 
     def is_older(self, fingerprint: str, moment: float) -> bool:
-        """Tell whether a suspected request has been here for long.
+        """Check whether a suspected request started here before a given time.
 
         :param fingerprint: the request.
-        :param moment: seconds of the steady clock.
-        :returns: true where it came before that moment.
+        :param moment: seconds of the monotonic clock.
+        :returns: true where it runs here and started earlier.
         """
         trial = self.trials.get(fingerprint)
         return trial is not None and trial.since < moment
--- a/src/wigeonpier/policy/window.py
+++ b/src/wigeonpier/policy/window.py
@@ -1,9 +1,9 @@
-"""Counts what was spent over a sliding window.
+"""Counts amounts that were spent in a sliding window.
 
-The load that it answers: callers that come all at once, or that come on while
-earlier ones are answered slowly.  A bucket that fills again meanwhile gives
-them more the longer they take.  What counts here is any span of the window's
-length, whenever it began.
+Addresses callers that arrive all at once, or that keep arriving while earlier
+requests are answered slowly.  A token bucket refills meanwhile and admits more
+the longer the answers take.  Here the limit holds in any span of the window's
+length, whenever it begins.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-# Amounts that are spent within one of so many parts of the window are kept as
-# one, so that a busy customer costs no more memory than a few kB.
-GRAINS = 64
+# Amounts spent within one of this many parts of the window are merged, so that
+# a busy customer needs no more than a few kB.
+WINDOW_PARTS = 64
 
 
 @dataclass(slots=True)
 class Window:
-    """What was spent of late.
+    """Amounts spent recently.
 
     :param seconds: length of the window.
-    :param total: sum of what was spent in it, as of the last look.
-    :param spent: when and how much, oldest first.
+    :param total: sum of the amounts in it, as of the last update.
+    :param spent: time and amount, oldest first.
     """
 
     seconds: float
@@ -32,34 +32,34 @@
 
 
 def spend(window: Window, amount: float, now: float) -> None:
-    """Record that something was spent.
+    """Record that an amount was spent.
 
     :param window: changed in place.
-    :param amount: how much; below zero for what was not used after all.
+    :param amount: the amount; negative for one that was not used after all.
     :param now: seconds.
     """
     sum_spent(window, now)
     if amount < 0:
-        _cancel(window, -amount)
+        _refund(window, -amount)
         return
     window.total += amount
-    grain = window.seconds / GRAINS
-    if window.spent and now - window.spent[-1][0] < grain:
-        at, known = window.spent[-1]
-        window.spent[-1] = (at, known + amount)
+    part_seconds = window.seconds / WINDOW_PARTS
+    if window.spent and now - window.spent[-1][0] < part_seconds:
+        at, merged = window.spent[-1]
+        window.spent[-1] = (at, merged + amount)
     else:
         window.spent.append((now, amount))
 
 
 def sum_spent(window: Window, now: float) -> float:
-    """Sum what was spent in the window that ends now.
+    """Sum the amounts spent in the window that ends now.
 
-    :param window: what is older is dropped from it.
+    :param window: older amounts are dropped from it.
     :param now: seconds.
     :returns: the sum.
     """
-    # An entry holds what came within a grain after its time.
-    kept = window.seconds * (1 + 1 / GRAINS)
+    # An element also holds amounts spent up to one part of the window later.
+    kept = window.seconds * (1 + 1 / WINDOW_PARTS)
     while window.spent and now - window.spent[0][0] >= kept:
         window.total -= window.spent.popleft()[1]
     if not window.spent:
@@ -67,20 +67,20 @@
     return window.total
 
 
-def _cancel(window: Window, amount: float) -> None:
-    """Take back what is oldest.
+def _refund(window: Window, amount: float) -> None:
+    """Take back an amount, oldest first.
 
-    An amount below zero would outlive what it takes back, and free room that
-    later requests have used.
+    A negative element would stay in the window longer than the one that it
+    takes back, and free room that later requests have used.
     """
-    left = amount
-    while left > 0 and window.spent:
+    remaining = amount
+    while remaining > 0 and window.spent:
         at, spent = window.spent.popleft()
-        taken = min(left, spent)
-        left -= taken
-        window.total -= taken
-        if taken < spent:
-            window.spent.appendleft((at, spent - taken))
+        refunded = min(remaining, spent)
+        remaining -= refunded
+        window.total -= refunded
+        if refunded < spent:
+            window.spent.appendleft((at, spent - refunded))
 
 
 def time_until_available(
@@ -91,9 +91,9 @@
 ) -> float:
     """Compute when an amount can be spent.
 
-    :param windows: what was spent, in windows of the same length.
+    :param windows: amounts spent, in windows of the same length.
     :param limit: most that may be spent in a window over all of them.
-    :param amount: what is asked for; more than the limit counts as the limit.
+    :param amount: wanted amount; more than the limit counts as the limit.
     :param now: seconds.
     :returns: seconds, 0 where it can be spent now.
     """
@@ -101,13 +101,13 @@
     excess += min(amount, limit) - limit
     if excess <= 0:
         return 0
-    leaving = sorted(
-        (at + window.seconds * (1 + 1 / GRAINS), spent)
+    expiring = sorted(
+        (at + window.seconds * (1 + 1 / WINDOW_PARTS), spent)
         for window in windows
         for at, spent in window.spent
     )
-    for leaves_at, spent in leaving:
+    for expires_at, spent in expiring:
         excess -= spent
         if excess <= 0:
-            return max(0, leaves_at - now)
+            return max(0, expires_at - now)
     return math.inf
