--- a/src/wigeonpier/policy/backoff.py
+++ b/src/wigeonpier/policy/backoff.py
@@ -1,8 +1,8 @@
 """Spaces attempts at something that refuses them.
 
-The load that it answers: an upstream or a store that turns every call away at
-once.  With a fixed pause for each item, a thousand items make thousands of
-calls a second, none of which can succeed, and as many log lines.
+Addresses an upstream or a store that refuses each call at once.  With a fixed
+pause per item, a thousand items make thousands of calls a second, none of
+which can succeed, and as many log lines.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """Exponential pauses between attempts, shared by all who attempt.
+    """Exponential pauses between attempts, shared by all callers of one target.
 
     :param first: pause after the first refusal, seconds.
     :param longest: limit of the pause, seconds.
     :param free_refusals: refusals in a row that cause no pause.
     :param refusals: refusals since the last success.
-    :param resume_at: no attempt before then, seconds of the steady clock.
+    :param resume_at: no attempt before then, seconds of the monotonic clock.
     """
 
     first: float
@@ -32,19 +32,19 @@
     def is_paused(self, now: float) -> bool:
         """Check whether attempts have to wait.
 
-        :param now: seconds of the steady clock.
+        :param now: seconds of the monotonic clock.
         :returns: true until the current pause is over.
         """
         return now < self.resume_at
 
     def record_refusal(self, now: float) -> float:
-        """Count a refusal and begin the next pause.
+        """Count a refusal and start the next pause.
 
-        Refusals that arrive during a pause belong to attempts made before it
-        and do not lengthen it.
+        Refusals that arrive during a pause belong to earlier attempts and do
+        not extend it.
 
-        :param now: seconds of the steady clock.
-        :returns: what is left of the pause, seconds.
+        :param now: seconds of the monotonic clock.
+        :returns: remaining pause, seconds.
         """
         if not self.is_paused(now):
             self.refusals += 1
@@ -53,7 +53,7 @@
         return max(0, self.resume_at - now)
 
     def record_success(self) -> None:
-        """End the series of refusals."""
+        """Reset the pauses after a success."""
         self.refusals = 0
         self.resume_at = 0
 
--- a/src/wigeonpier/policy/breaker.py
+++ b/src/wigeonpier/policy/breaker.py
@@ -1,8 +1,8 @@
-"""Stops batch items from being sent to an upstream that refuses them all.
+"""Stops batch items from being sent to an upstream that refuses all of them.
 
-The load that it answers: an upstream that reports free slots and answers 503,
-or that another instance has replaced.  Its items are attempted at a bounded
-rate, and after some seconds others get them.
+Addresses an upstream that reports free slots and answers 503, or that another
+instance has replaced.  Its items are attempted at a bounded rate, and after
+some seconds other upstreams get them.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 from wigeonpier.policy.backoff import Backoff
 
-# A replica that has just filled up refuses a few.
+# An upstream that has just filled up refuses a few items.
 FREE_REFUSALS = 8
-FIRST_PAUSE_SECONDS = 0.25
-LONGEST_PAUSE_SECONDS = 2.0
+INITIAL_PAUSE_SECONDS = 0.25
+MAX_PAUSE_SECONDS = 2.0
 PAUSES_TO_OPEN = 4
 OPEN_SECONDS = 10.0
 
 
 def _make_backoff() -> Backoff:
-    return Backoff(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, FREE_REFUSALS)
+    return Backoff(INITIAL_PAUSE_SECONDS, MAX_PAUSE_SECONDS, FREE_REFUSALS)
 
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """Counts the refusals of one upstream, all items together.
+    """Counts the refusals of one upstream over all items.
 
     :param backoff: pauses between attempts.
-    :param open_until: others get its items before then, seconds of the steady
-        clock.
+    :param open_until: its items go to other upstreams before then, seconds of
+        the monotonic clock.
     """
 
     backoff: Backoff = field(default_factory=_make_backoff)
@@ -38,15 +38,15 @@
     def is_paused(self, now: float) -> bool:
         """Check whether no item may be sent now.
 
-        :param now: seconds of the steady clock.
+        :param now: seconds of the monotonic clock.
         :returns: true between attempts.
         """
         return self.backoff.is_paused(now)
 
     def is_open(self, now: float) -> bool:
-        """Check whether items are better run elsewhere.
+        """Check whether items should run at other upstreams.
 
-        :param now: seconds of the steady clock.
+        :param now: seconds of the monotonic clock.
         :returns: true for a while after a series of refusals.
         """
         return now < self.open_until
@@ -54,8 +54,8 @@
     def record_refusal(self, now: float, *, has_free_slot: bool) -> None:
         """Count an item that was refused.
 
-        :param now: seconds of the steady clock.
-        :param has_free_slot: whether the upstream reports one; a full one
+        :param now: seconds of the monotonic clock.
+        :param has_free_slot: whether the upstream reports one; a full upstream
             keeps its items.
         """
         self.backoff.record_refusal(now)
@@ -64,6 +64,6 @@
             self.open_until = now + OPEN_SECONDS
 
     def record_run(self) -> None:
-        """Close the breaker since an item has run."""
+        """Close the breaker after an item has run."""
         self.backoff.record_success()
         self.open_until = 0
--- a/src/wigeonpier/policy/buckets.py
+++ b/src/wigeonpier/policy/buckets.py
@@ -1,8 +1,8 @@
-"""A token bucket for what is counted after it was used.
+"""Provides a token bucket for amounts that are counted after they were used.
 
-The load that it answers: answers of which nobody knows the length before they
-end.  What was used beyond the rate is a debt that time pays off.  Requests,
-which are counted before they run, have :mod:`wigeonpier.policy.window`.
+Addresses answers whose length is unknown until they end.  Usage beyond the
+rate is a debt that is paid off over time.  Requests, which are counted before
+they run, use :mod:`wigeonpier.policy.window`.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 class Bucket:
     """Tokens that may be spent.
 
-    :param tokens: what is left; may be below zero after a large spend.
-    :param seen: when it was last filled, seconds.
+    :param tokens: remaining tokens; may be negative after a large spend.
+    :param filled_at: when it was last filled, seconds.
     """
 
     tokens: float
-    seen: float
+    filled_at: float
 
 
 def fill_bucket(bucket: Bucket, rate: float, now: float) -> None:
-    """Add what has come in since the last time.
+    """Add the tokens that have accrued since the last call.
 
     :param bucket: changed in place.
     :param rate: tokens a second.
     :param now: seconds.
     """
-    earned = max(0, now - bucket.seen) * rate
+    earned = max(0, now - bucket.filled_at) * rate
     bucket.tokens = min(rate * BURST_SECONDS, bucket.tokens + earned)
-    bucket.seen = now
+    bucket.filled_at = now
 
 
 def time_until_affordable(bucket: Bucket, rate: float, amount: float) -> int:
     """Compute when an amount can be spent.
 
-    :param bucket: filled just now.
+    :param bucket: the bucket, filled just now.
     :param rate: tokens a second.
-    :param amount: what is asked for.
+    :param amount: wanted amount.
     :returns: whole seconds, 0 where it can be spent now.
     """
     missing = min(amount, rate * BURST_SECONDS) - bucket.tokens
--- a/src/wigeonpier/policy/copies.py
+++ b/src/wigeonpier/policy/copies.py
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Disk:
-    """A data folder that can be chosen.
+    """A data folder that can hold a copy.
 
     :param incarnation: its id.
     :param address: ``host:port`` of its process.
-    :param data_centre: where it stands.
-    :param free_bytes: room that is left.
+    :param data_centre: data centre that it is in.
+    :param free_bytes: free space.
     """
 
     incarnation: str
@@ -23,7 +23,7 @@
     free_bytes: int
 
 
-LEAST_FREE_BYTES = 64_000_000
+MIN_FREE_BYTES = 64_000_000
 NONE_AVOIDED: frozenset[str] = frozenset()
 
 
@@ -33,26 +33,27 @@
     wanted: int,
     avoided: frozenset[str] = NONE_AVOIDED,
 ) -> list[Disk]:
-    """Choose folders in as many data centres as there are.
+    """Choose folders in as many different data centres as possible.
 
-    :param disks: folders in reach.
-    :param key: what is kept; the choice is spread by it.
-    :param wanted: how many copies.
-    :param avoided: incarnations that failed just now.
-    :returns: at most that many, fewer where there are not enough.
+    :param disks: reachable folders.
+    :param key: name of the file or journal; spreads the choice.
+    :param wanted: number of copies.
+    :param avoided: incarnations that have just failed.
+    :returns: at most that many folders, fewer if there are not enough.
     """
     usable = {
         disk.incarnation: disk
         for disk in disks
-        if disk.free_bytes >= LEAST_FREE_BYTES
-        and disk.incarnation not in avoided
+        if disk.free_bytes >= MIN_FREE_BYTES and disk.incarnation not in avoided
     }
     ranked = [usable[name] for name in rank_by_key(list(usable), key)]
     chosen: list[Disk] = []
     while ranked and len(chosen) < wanted:
-        taken = {disk.data_centre for disk in chosen}
-        fresh = [disk for disk in ranked if disk.data_centre not in taken]
-        best = (fresh or ranked)[0]
+        used_centres = {disk.data_centre for disk in chosen}
+        in_other_centres = [
+            disk for disk in ranked if disk.data_centre not in used_centres
+        ]
+        best = (in_other_centres or ranked)[0]
         chosen.append(best)
         ranked.remove(best)
     return chosen
--- a/src/wigeonpier/policy/pacing.py
+++ b/src/wigeonpier/policy/pacing.py
@@ -12,7 +12,7 @@
 
 from dataclasses import dataclass
 
-from wigeonpier.policy.runlengths import FIRST_DEVIATION
+from wigeonpier.policy.runlengths import INITIAL_DEVIATION
 
 # Slots kept free for the next online requests.
 RESERVED_SLOTS = 0
@@ -62,7 +62,7 @@
     running: int
     waiting: int
     run_seconds: float
-    deviation: float = FIRST_DEVIATION
+    deviation: float = INITIAL_DEVIATION
 
     @property
     def has_free_slot(self) -> bool:
--- a/src/wigeonpier/policy/paging.py
+++ b/src/wigeonpier/policy/paging.py
@@ -1,27 +1,27 @@
-"""Decides how an uploaded file is cut into pages; a page is one chunk."""
+"""Decides how an uploaded file is divided into pages; a page is one chunk."""
 
 from __future__ import annotations
 
-FIRST_PAGES = 8
-SMALL_PAGE = 32
-MIDDLE_PAGES = 16
-MIDDLE_PAGE = 128
-FULL_PAGE = 1000
+SMALL_PAGES_END = 8
+SMALL_PAGE_LINES = 32
+MEDIUM_PAGES_END = 16
+MEDIUM_PAGE_LINES = 128
+FULL_PAGE_LINES = 1000
 MOST_PAGE_BYTES = 16_000_000
 
 
 def choose_page_size(index: int) -> int:
-    """Choose how many lines a page takes.
+    """Choose the number of lines of a page.
 
-    The length of a file is not known while it arrives.  Small pages at the
-    start spread a short job over many upstreams; full pages afterwards keep
-    the writes for a long job few.
+    The length of a file is unknown while it arrives.  Small pages at the start
+    spread a short job over many upstreams; full pages afterwards limit the
+    writes for a long job.
 
     :param index: position of the page.
     :returns: lines.
     """
-    if index < FIRST_PAGES:
-        return SMALL_PAGE
-    if index < MIDDLE_PAGES:
-        return MIDDLE_PAGE
-    return FULL_PAGE
+    if index < SMALL_PAGES_END:
+        return SMALL_PAGE_LINES
+    if index < MEDIUM_PAGES_END:
+        return MEDIUM_PAGE_LINES
+    return FULL_PAGE_LINES
--- a/src/wigeonpier/policy/placement.py
+++ b/src/wigeonpier/policy/placement.py
@@ -1,10 +1,10 @@
 """Decides which process runs an item of a batch job.
 
-The load that it answers: jobs of about ten items that arrive in bursts at
-entries which do not talk to each other.  Items are handed out when the job
-is accepted, to whoever has least left; a few to each, since every process
-that a job wakes costs calls to the store.  Later only the items of a process
-that is gone move.
+Addresses jobs of about ten items that arrive in bursts at entries which do not
+communicate with each other.  Items are assigned when the job is accepted, to
+the processes with the least work left, and several to each, since each process
+that a job wakes costs calls to the store.  Afterwards only the items of a lost
+process are reassigned.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from wigeonpier.models import Member, OpenJob
 
-# An item runs for about 5 s, and most of them begin at once; one of a job
-# older than this is most probably done.
-WORK_FADES_SECONDS = 12.0
-# Items of a job that one process gets together; of 28 processes a job of ten
-# then wakes four, each of which is a call to the store.
-ITEMS_TOGETHER = 3
-# Stands for the owner of items that nobody runs yet.
+# An item runs for about 5 s and most start at once, so an item of a job older
+# than this is most probably done.
+WORK_DECAY_SECONDS = 12.0
+# Items of a job that are assigned to one process together.  A job of ten then
+# wakes four of 28 processes, each of which costs a call to the store.
+ITEMS_PER_ASSIGNMENT = 3
+# Owner of items that no process runs yet.
 NOBODY = '-'
 
 
@@ -37,11 +37,11 @@
     """Choose an owner for each item of a new job.
 
     :param job: id of the job.
-    :param count: how many items it has.
+    :param count: number of items.
     :param members: processes that run items of its service.
     :param jobs: jobs with items left.
-    :param now: seconds of the day's clock.
-    :returns: owners by position; nobody where there are no members.
+    :param now: seconds of the wall clock.
+    :returns: owners by position; ``NOBODY`` where there are no members.
     """
     if not members:
         return (NOBODY,) * count
@@ -50,8 +50,8 @@
     owners: list[str] = []
     while len(owners) < count:
         chosen = min(names, key=load.__getitem__)
-        load[chosen] += ITEMS_TOGETHER
-        owners.extend(repeat(chosen, ITEMS_TOGETHER))
+        load[chosen] += ITEMS_PER_ASSIGNMENT
+        owners.extend(repeat(chosen, ITEMS_PER_ASSIGNMENT))
     return tuple(owners[:count])
 
 
@@ -62,20 +62,20 @@
     jobs: list[OpenJob],
     now: float,
 ) -> tuple[str, ...]:
-    """Choose new owners for the items of a process that is gone.
+    """Choose new owners for the items of a lost process.
 
     :param job: the job.
-    :param lost: who is gone.
+    :param lost: name of the lost process.
     :param members: processes that run items of its service.
     :param jobs: jobs with items left.
-    :param now: seconds of the day's clock.
-    :returns: owners of all items; others keep theirs.
+    :param now: seconds of the wall clock.
+    :returns: owners of all items; those of other processes are unchanged.
     """
-    orphans = sum(owner == lost for owner in job.owners)
+    lost_items = sum(owner == lost for owner in job.owners)
     others = [member for member in members if member.name != lost]
-    fresh = iter(deal_items(job.name, orphans, others, jobs, now))
+    new_owners = iter(deal_items(job.name, lost_items, others, jobs, now))
     return tuple(
-        next(fresh) if owner == lost else owner for owner in job.owners
+        next(new_owners) if owner == lost else owner for owner in job.owners
     )
 
 
@@ -87,7 +87,7 @@
     load: dict[str, float] = dict.fromkeys(names, 0)
     for job in jobs:
         age = max(0, now - job.sent_at)
-        weight = max(0, 1 - age / WORK_FADES_SECONDS)
+        weight = max(0, 1 - age / WORK_DECAY_SECONDS)
         for owner in load.keys() & set(job.owners):
             load[owner] += weight * job.owners.count(owner)
     return load
--- a/src/wigeonpier/policy/ranking.py
+++ b/src/wigeonpier/policy/ranking.py
@@ -1,4 +1,4 @@
-"""Ranks names for a key, so that every process ranks them alike."""
+"""Ranks names for a key, with the same result in each process."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 def rank_by_key(names: list[str], key: str) -> list[str]:
     """Order names by rendezvous hashing.
 
-    A name that comes or goes moves only the keys that it holds.
+    Adding or removing a name moves only the keys that it ranks first for.
 
     :param names: candidates.
-    :param key: what is placed.
+    :param key: key to place.
     :returns: the names, best first.
     """
     return sorted(
@@ -25,11 +25,11 @@
 
 
 def choose_subset(names: list[str], key: str, size: int) -> list[str]:
-    """Choose a few peers, the same ones as long as they stay.
+    """Choose a few peers; the choice is stable while they exist.
 
     :param names: candidates.
-    :param key: name of the process that chooses.
-    :param size: how many.
+    :param key: name of the choosing process.
+    :param size: number of peers.
     :returns: the chosen names.
     """
     return rank_by_key(names, key)[:size]
--- a/tests/policy/test_breaker.py
+++ b/tests/policy/test_breaker.py
@@ -6,7 +6,7 @@
 
 from wigeonpier.policy.breaker import (
     FREE_REFUSALS,
-    LONGEST_PAUSE_SECONDS,
+    MAX_PAUSE_SECONDS,
     OPEN_SECONDS,
     PAUSES_TO_OPEN,
     CircuitBreaker,
@@ -36,7 +36,7 @@
     attempts = replay_refusals(
         CircuitBreaker(), 60, has_free_slot=has_free_slot
     )
-    assert attempts <= SLOTS * (60 / LONGEST_PAUSE_SECONDS + 5)
+    assert attempts <= SLOTS * (60 / MAX_PAUSE_SECONDS + 5)
 
 
 @pytest.mark.parametrize('has_free_slot', [True, False])
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -31,19 +31,21 @@
 
 
 @given(SEEN, st.integers(1, 64), st.booleans())
-def test_no_batch_is_admitted_while_online_waits(seen, slots, one_run) -> None:
-    admitted = may_admit_batch(seen, slots, is_one_run=one_run)
+def test_no_batch_is_admitted_while_online_waits(
+    occupancy, slots, one_run
+) -> None:
+    admitted = may_admit_batch(occupancy, slots, is_one_run=one_run)
     if admitted:
-        assert not seen.online_waiting
-        assert seen.online + seen.batch < slots
+        assert not occupancy.online_waiting
+        assert occupancy.online + occupancy.batch < slots
 
 
 @given(SEEN, st.integers(1, 64))
-def test_as_many_give_way_as_are_in_the_way(seen, slots) -> None:
-    count = count_to_preempt(seen, slots)
-    left = seen.online + seen.online_waiting + seen.batch - count
-    assert 0 <= count <= seen.batch - seen.one_run
-    assert left <= slots or count == seen.batch - seen.one_run
+def test_as_many_give_way_as_are_in_the_way(occupancy, slots) -> None:
+    count = count_to_preempt(occupancy, slots)
+    left = occupancy.online + occupancy.online_waiting + occupancy.batch - count
+    assert 0 <= count <= occupancy.batch - occupancy.one_run
+    assert left <= slots or count == occupancy.batch - occupancy.one_run
 
 
 @given(st.integers(0, 1000), st.floats(0.004, 0.02), st.floats(0.0003, 0.002))
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -10,7 +10,7 @@
 from tests.hosted.builders import SERVICE, make_open_job
 from wigeonpier.models import Member
 from wigeonpier.policy.placement import (
-    ITEMS_TOGETHER,
+    ITEMS_PER_ASSIGNMENT,
     NOBODY,
     deal_items,
     move_items,
@@ -38,7 +38,7 @@
             make_open_job(f'j{number}', owners=owners, sent_at=0.1 * number)
         )
     held = Counter(owner for job in jobs for owner in job.owners)
-    assert max(held.values()) - min(held.values()) <= 2 * ITEMS_TOGETHER
+    assert max(held.values()) - min(held.values()) <= 2 * ITEMS_PER_ASSIGNMENT
 
 
 def test_old_jobs_count_less() -> None:
@@ -53,7 +53,7 @@
     owners = deal_items(job, count, build_members(names), [], 0)
     assert len(owners) == count
     assert set(owners) <= names
-    assert len(set(owners)) <= -(-count // ITEMS_TOGETHER)
+    assert len(set(owners)) <= -(-count // ITEMS_PER_ASSIGNMENT)
 
 
 @given(NAMES, st.integers(1, 30))
--- a/tests/policy/test_schedule.py
+++ b/tests/policy/test_schedule.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from tests.builders import build_disk
-from wigeonpier.policy.copies import LEAST_FREE_BYTES, choose_copies
-from wigeonpier.policy.paging import FULL_PAGE, choose_page_size
+from wigeonpier.policy.copies import MIN_FREE_BYTES, choose_copies
+from wigeonpier.policy.paging import FULL_PAGE_LINES, choose_page_size
 from wigeonpier.policy.ranking import choose_subset, rank_by_key
 from wigeonpier.policy.schedule import JobView, order_jobs
 
@@ -64,7 +64,7 @@
         for number, (centre, has_room) in enumerate(parts)
     ]
     chosen = choose_copies(disks, 'key', 3)
-    roomy = [disk for disk in disks if disk.free_bytes >= LEAST_FREE_BYTES]
+    roomy = [disk for disk in disks if disk.free_bytes >= MIN_FREE_BYTES]
     centres = {disk.data_centre for disk in roomy}
     assert len(chosen) == min(3, len(roomy))
     assert len({disk.incarnation for disk in chosen}) == len(chosen)
@@ -85,5 +85,5 @@
 def test_pages_start_small_and_grow_to_a_thousand() -> None:
     sizes = [choose_page_size(index) for index in range(100)]
     assert sizes == sorted(sizes)
-    assert sizes[-1] == FULL_PAGE
+    assert sizes[-1] == FULL_PAGE_LINES
     assert sum(sizes[:16]) < 2000
