--- a/src/wigeonpier/policy/fingerprint.py
+++ b/src/wigeonpier/policy/fingerprint.py
@@ -1,20 +1,20 @@
-"""Names a request by its content, so that its repeats are known again.
+"""Identifies a request by its content, so that retries of it are recognised.
 
-The load that it answers: a caller that comes back with the same request, at
-any entry, each time under another id.  The content is what an upstream gets
-of it, and the customer that asks, so that what one customer sends has nothing
-refused to another one.  Where nobody has a key two callers that send the same
-bytes to the same path ask an upstream for the same.
+Addresses a caller that retries the same request at any entry, each time under
+another id.  The fingerprint covers the content that an upstream receives and
+the customer, so that the requests of one customer never cause another one's
+to be refused.  On hosts without keys, two callers that send the same bytes to
+the same path send the same request.
 """
 
 from __future__ import annotations
 
 import hashlib
 
-# 128 bits: of 140 million requests a day one has the digest of any of 4,096
-# others once in 10^24 years.  A cryptographic digest, so that nobody makes a request on purpose
-# that is taken for another one's.  700 bytes take 0.8 us, 4 MB 2.7 ms,
-# measured in a loop on one core.
+# 128 bits: among 140 million requests a day, one has the digest of any of 4,096
+# others once in 10^24 years.  The digest is cryptographic, so that a request
+# cannot be crafted to be taken for another one.  Digesting 700 bytes takes
+# 0.8 us and 4 MB 2.7 ms on one core.
 DIGEST_BYTES = 16
 
 
@@ -25,13 +25,13 @@
     body: bytes,
     customer: str = '',
 ) -> str:
-    """Name a request by its content.
+    """Compute the fingerprint of a request.
 
     :param host: host that the caller named, lower case.
     :param method: HTTP method.
-    :param target: path with query, as it came.
+    :param target: path with query, as received.
     :param body: whole body.
-    :param customer: who asks, empty where nobody needs a key.
+    :param customer: customer of the request, empty where no key is needed.
     :returns: 32 hexadecimal digits.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
--- a/src/wigeonpier/policy/freshness.py
+++ b/src/wigeonpier/policy/freshness.py
@@ -1,56 +1,57 @@
-"""Decides what a process may do by the age of what it knows of keys.
+"""Decides what a process may do, given the age of its knowledge of keys.
 
-The load that it answers: a third of all entries lose the store for 8 s while
-keys are taken away, others are cut off, frozen or suspended, and a watch that
-is silent proves nothing.  The age begins when a reading was asked for, not when
-it was answered: what is taken away in between may be missing in it.  A request
-is judged after it was sent, so that one that passes was sent within the bound
-whatever befalls the process between the check and the send.
+Addresses a third of all entries losing the store for 8 s while keys are
+revoked, and other entries that are isolated, frozen or suspended; a watch that
+reports nothing does not prove that nothing has changed.  The age counts from
+the request for a reading, not from its answer, which may lack keys revoked in
+between.  A request is checked after it was sent, so that one that passes was
+sent within the bound whatever delays the process between check and send.
 
-Ages are of a clock that goes on while the machine is suspended.
+Ages are of a clock that continues while the machine is suspended.
 """
 
 from __future__ import annotations
 
-# Of the time after which nothing may run with a key that was taken away.  It
-# leaves a tenth for clocks that differ.
-TRUST_SHARE = 0.9
-# From then on callers are better served elsewhere.
+# Shares of the time after which a revoked key must not be accepted any more.
+# The remaining tenth allows for clocks that differ.
+AUTHORIZE_SHARE = 0.9
+# Above it, callers are better served by other entries.
 READY_SHARE = 0.6
-# Then it is proved again; a proof that fails can be tried four times more
-# before anything is refused.
-PROVE_SHARE = 0.25
-# Others are told what was read so lately, so that their proofs cost no reading.
-SHARE_SHARE = 0.2
-# A pause between tries where nobody answers.
+# Above it, the configuration is confirmed again; a failed attempt can be
+# repeated four times before anything is refused.
+CONFIRM_SHARE = 0.25
+# A reading younger than this is shared with other processes, so that their
+# confirmation needs no reading of their own.
+REUSE_SHARE = 0.2
+# Pause between attempts while the store does not answer.
 RETRY_SHARE = 0.05
-# A key that is not known here may have been added since.
-NEWS_SHARE = 0.6
+# Above it, a key that is unknown here may have been added since.
+UNKNOWN_KEY_SHARE = 0.6
 
 
 def may_judge(age: float, bound: float) -> bool:
     """Decide whether a request with a known key may run.
 
     :param age: seconds since the configuration was known to be the newest.
-    :param bound: seconds in which the end of a key has to be in force, 0 where
-        that is not promised.
-    :returns: false where the key may have been taken away too long ago.
+    :param bound: seconds within which the revocation of a key has to take
+        effect, 0 where no bound is configured.
+    :returns: false where the key may have been revoked too long ago.
     """
-    return not bound or age < bound * TRUST_SHARE
+    return not bound or age < bound * AUTHORIZE_SHARE
 
 
-def may_turn_away(age: float, bound: float) -> bool:
-    """Decide whether the bearer of an unknown key is told that it has no right.
+def may_refuse_unknown_key(age: float, bound: float) -> bool:
+    """Decide whether a request with an unknown key may be refused for good.
 
     :param age: seconds since the configuration was known to be the newest.
     :param bound: as above.
-    :returns: false where others may know the key already.
+    :returns: false where other entries may know the key already.
     """
-    return not bound or age < bound * NEWS_SHARE
+    return not bound or age < bound * UNKNOWN_KEY_SHARE
 
 
 def is_ready(age: float, bound: float) -> bool:
-    """Decide whether new callers with keys are to be sent here.
+    """Decide whether new callers with keys should be sent to this entry.
 
     :param age: seconds since the configuration was known to be the newest.
     :param bound: as above.
@@ -60,20 +61,21 @@
 
 
 def is_due(age: float, bound: float) -> bool:
-    """Decide whether the configuration has to be proved anew.
+    """Decide whether the configuration has to be confirmed again.
 
     :param age: seconds since the configuration was known to be the newest.
     :param bound: as above.
-    :returns: true where a reading is wanted.
+    :returns: true where a new reading is needed.
     """
-    return bool(bound) and age >= bound * PROVE_SHARE
+    return bool(bound) and age >= bound * CONFIRM_SHARE
 
 
 def may_share(age: float, bound: float) -> bool:
-    """Decide whether a reading is told on instead of a new one.
+    """Decide whether a process may pass on its last reading to another one.
 
-    :param age: seconds since it was asked for.
+    :param age: seconds since the reading was requested.
     :param bound: as above.
-    :returns: true where who is told may rely on it until its next proof.
+    :returns: true where the receiver may rely on it until its next
+        confirmation.
     """
-    return age < bound * SHARE_SHARE
+    return age < bound * REUSE_SHARE
--- a/src/wigeonpier/policy/identity.py
+++ b/src/wigeonpier/policy/identity.py
@@ -1,9 +1,9 @@
-"""Decides who a request is from, and whether that can be known now.
+"""Decides which customer a request is from, and whether this can be known now.
 
-The load that it answers: keys are added and taken away while some entries are
-out of touch with the store.  An entry that may lack a new key cannot say that
-its bearer has no right, and callers never come back after that; an entry that
-may lack the end of a key must not run what bears it.
+Addresses keys that are added and revoked while some entries cannot reach the
+store.  An entry that may lack a new key cannot refuse it for good, since
+callers do not retry after that; an entry that may lack a revocation must not
+accept the key.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from wigeonpier.policy.freshness import may_judge, may_turn_away
+from wigeonpier.policy.freshness import may_judge, may_refuse_unknown_key
 
 if TYPE_CHECKING:
     from wigeonpier.served import (
@@ -22,7 +22,7 @@
 
 
 class Verdict(StrEnum):
-    """What is known of who asks."""
+    """What is known of the caller."""
 
     admitted = 'admitted'
     unknown_key = 'unknown_key'
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who asks.
+    """The caller of a request.
 
-    :param verdict: whether that is known.
-    :param customer: the customer, ``None`` for who needs no key.
+    :param verdict: whether the caller is known.
+    :param customer: the customer, ``None`` for a caller without a key.
     """
 
     verdict: Verdict
@@ -46,8 +46,8 @@
     """How far a configuration can be trusted.
 
     :param age: seconds since it was known to be the newest.
-    :param bound: seconds after which no key counts that was taken away, 0
-        where that is not promised.
+    :param bound: seconds after which a revoked key must not be accepted, 0
+        where no bound is configured.
     """
 
     age: float
@@ -61,13 +61,13 @@
     *,
     is_open: bool,
 ) -> Identity:
-    """Find out who asks.
+    """Identify the caller of a request.
 
     :param configuration: configuration in force.
-    :param key: the caller's, empty where there is none.
+    :param key: the caller's key, empty where there is none.
     :param knowledge: how far the configuration can be trusted.
     :param is_open: whether no key is needed.
-    :returns: the verdict.
+    :returns: the verdict and the customer.
     """
     if configuration.customers is None:
         return Identity(Verdict.admitted)
@@ -77,7 +77,7 @@
     if not key:
         return Identity(Verdict.unknown_key)
     if customer is None:
-        is_certain = may_turn_away(knowledge.age, knowledge.bound)
+        is_certain = may_refuse_unknown_key(knowledge.age, knowledge.bound)
         return Identity(
             Verdict.unknown_key if is_certain else Verdict.unsure,
         )
--- a/src/wigeonpier/policy/incarnation.py
+++ b/src/wigeonpier/policy/incarnation.py
@@ -1,50 +1,50 @@
-"""Decides which of two statements about a replica is of its later start.
+"""Decides which of two reports about a replica is of its later start.
 
-The load that it answers: replicas that crash and are back under their id
-within a heartbeat, while writes of the start before are still on their way.
-Taken for the newer ones, such words would bring back that a replica leaves,
-or its load of before, and nothing would correct them until it changes again.
+Addresses replicas that crash and restart under the same id within a heartbeat,
+while writes of their previous start are still in flight.  If such a write were
+taken for the newer one, it would restore the previous load, or mark the
+replica as leaving, until the next change.
 """
 
 from __future__ import annotations
 
-# Two statements without an incarnation cannot be ordered.
+# Two reports without an incarnation cannot be ordered.
 UNKNOWN = 0
 
 
-def is_earlier(told: int, known: int) -> bool:
-    """Tell whether a statement is of an earlier start than what is known.
+def is_earlier(reported: int, known: int) -> bool:
+    """Check whether a report is of an earlier start than what is known.
 
-    :param told: incarnation of the statement.
-    :param known: incarnation of what is known.
-    :returns: false where one of them is not told.
+    :param reported: incarnation of the report.
+    :param known: known incarnation.
+    :returns: false where one of them is unknown.
     """
-    return UNKNOWN not in {told, known} and told < known
+    return UNKNOWN not in {reported, known} and reported < known
 
 
 def comes_after(
-    told: tuple[int, int],
-    known: tuple[int, int],
+    first: tuple[int, int],
+    second: tuple[int, int],
 ) -> bool:
-    """Tell which of two entries for one address is of the later start.
+    """Check which of two entries for one address is of the later start.
 
-    :param told: incarnation and revision of the creation of one entry.
-    :param known: likewise of the other one.
-    :returns: whether the first was started later; where a start is not told,
-        whether its entry was created later.
+    :param first: incarnation and create revision of one entry.
+    :param second: likewise of the other one.
+    :returns: whether the first was started later; where an incarnation is
+        unknown, whether its entry was created later.
     """
-    if is_earlier(known[0], told[0]):
+    if is_earlier(second[0], first[0]):
         return True
-    if is_earlier(told[0], known[0]):
+    if is_earlier(first[0], second[0]):
         return False
-    return told[1] > known[1]
+    return first[1] > second[1]
 
 
 def name_start(name: str, incarnation: int) -> str:
     """Name one start of a replica.
 
     :param name: id of the replica.
-    :param incarnation: grows with each start, 0 where it is not told; such a
+    :param incarnation: grows with each start, 0 where it is unknown; such a
         replica has a new id with each start.
     :returns: a name that no other start has.
     """
--- a/src/wigeonpier/policy/isolation.py
+++ b/src/wigeonpier/policy/isolation.py
@@ -1,39 +1,39 @@
-"""Decides whether an entry is cut off from all that could serve a request.
+"""Decides whether an entry is isolated from everything that serves requests.
 
-The load that it answers: an entry that callers still reach while it reaches
-neither the store nor any upstream.  It took questions for as long as the cut
-lasted and refused each after four connections that did not open, 1.6 s later,
-when the caller's time for another entry was half over; jobs that it was handed
-were lost to it.  Cut off, it refuses at once and leaves the balancer's
-rotation, so that callers go where they can be served.
+Addresses an entry that callers still reach while it reaches neither the store
+nor any upstream.  It used to accept requests as long as this lasted, and
+refused each after four failed connections, 1.6 s later, when half of the
+caller's time for another entry was over; jobs submitted to it were lost.  An
+isolated entry refuses at once and leaves the rotation of the load balancer, so
+that callers go to entries that can serve them.
 
-An outage of the store alone, or the loss of all processes beside upstreams,
-is no cut: only both together are, and one line of load ends it.
+An outage of the store alone, or the loss of the load of all upstreams alone,
+is no isolation: only both together are, and one line of load ends it.
 """
 
 from __future__ import annotations
 
-# The process beside each upstream tells its load each 0.5 s or sooner, also
-# unchanged; two such lines of all upstreams are missing then.
+# The local process of each upstream reports its load at least each 0.5 s, even
+# if unchanged, so two such lines of all upstreams are missing then.
 SILENT_SECONDS = 1.0
-# Leaves time for a question to the store before the silence counts.
-SUSPICIOUS_SECONDS = 0.6
+# Leaves time to probe the store before the process counts as isolated.
+PROBE_SECONDS = 0.6
 
 
 def is_suspicious(silent: float) -> bool:
-    """Decide whether the store is asked for a sign of life.
+    """Decide whether to probe the store.
 
-    :param silent: seconds since any upstream was heard.
-    :returns: true well before the silence counts.
+    :param silent: seconds since the last report of any upstream.
+    :returns: true well before the process could count as isolated.
     """
-    return silent >= SUSPICIOUS_SECONDS
+    return silent >= PROBE_SECONDS
 
 
 def is_cut_off(silent: float, *, has_store: bool) -> bool:
-    """Decide whether a process reaches nobody.
+    """Decide whether a process is isolated.
 
-    :param silent: seconds since any upstream was heard.
-    :param has_store: whether the store answers it.
-    :returns: true where neither answers.
+    :param silent: seconds since the last report of any upstream.
+    :param has_store: whether the store answers.
+    :returns: true where neither the store nor an upstream is reached.
     """
     return not has_store and silent >= SILENT_SECONDS
--- a/src/wigeonpier/policy/matching.py
+++ b/src/wigeonpier/policy/matching.py
@@ -18,30 +18,30 @@
     host: str,
     path: str,
 ) -> ServedRoute | None:
-    """Find the route of a request: its host, then the longest prefix.
+    """Find the route of a request by its host and the longest matching prefix.
 
     :param configuration: configuration in force.
     :param host: host that the caller named.
     :param path: path without query.
     :returns: the route, ``None`` where there is none.
     """
-    fitting = [
+    matching = [
         route
         for route in configuration.routes
         if route.host == host and path.startswith(route.prefix)
     ]
-    return max(fitting, key=lambda route: len(route.prefix), default=None)
+    return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
-def draw_service(route: ServedRoute, draw: random.Random) -> str:
-    """Draw the service of a request by the route's weights.
+def draw_service(route: ServedRoute, rng: random.Random) -> str:
+    """Choose the service of a request at random by the route's weights.
 
-    :param route: its route.
-    :param draw: source of randomness.
+    :param route: the route.
+    :param rng: source of randomness.
     :returns: name of the service.
     """
     names = [name for name, _weight in route.services]
     weights = [weight for _name, weight in route.services]
     if len(names) == 1 or not any(weights):
         return names[0]
-    return draw.choices(names, weights)[0]
+    return rng.choices(names, weights)[0]
--- a/src/wigeonpier/policy/outage.py
+++ b/src/wigeonpier/policy/outage.py
@@ -1,11 +1,11 @@
-"""Decides how soon a process asks a lost store again, and what it believes.
-
-The load that it answers: a process that was cut off, or a store that was
-away, comes back a moment before upstreams leave.  From the return on the site
-allows one time, ``contact``, in which the process may act on what it knew
-before; being blind, reading again and keeping what is missing share it.  With
-pauses of their own the views of a process were blind for 0.8 s after a cut and
-kept an upstream that had left for 2.4 s more, 0.2 s longer than allowed.
+"""Decides how soon a process probes a lost store, and what it still relies on.
+
+Addresses a process that was isolated, or a store outage, that ends a moment
+before upstreams leave.  From then on the site allows one time, ``contact``, in
+which the process may act on its previous knowledge; noticing the end of the
+outage, reading again and keeping missing entries share it.  When views used
+pauses of their own, they were blind for 0.8 s after an isolation and kept an
+upstream that had left for 2.4 s more, 0.2 s longer than allowed.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 if TYPE_CHECKING:
     from wigeonpier.models import Bounds
 
-# Share of the time for asking again: one call that got no answer and the pause
-# after it, so that a process is blind for 0.5 s where 3 s are allowed.
+# Share of the time for probing: one call without an answer and the pause after
+# it, so that a process is blind for 0.5 s where 3 s are allowed.
 BLIND_SHARE = 1 / 6
-# Share of the blind time that a call may wait; opening a connection takes a
+# Share of the blind time that a call may wait.  Opening a connection takes a
 # few ms, and a store that is slow by a factor of 80 answers within 0.35 s, so
-# that the views' own, more patient calls find it.
+# that the views' own calls, with longer timeouts, reach it.
 CALL_SHARE = 0.6
-# Share of the time for the read itself and for what was chosen just before.
+# Share of the time for the read itself and for upstreams chosen just before it.
 MARGIN_SHARE = BLIND_SHARE / 2
-# The platform writes entries that lapsed while its store was away again
+# The platform writes entries that expired during an outage of its store again
 # within about two seconds of its return.
-REWRITTEN_SECONDS = 2.2
-# Entries lapse after some seconds without the store; a single call that was
-# turned away or lost is over sooner, and must not delay that an upstream goes.
-SHORTEST_OUTAGE_SECONDS = 0.5
+REWRITE_SECONDS = 2.2
+# Entries expire after some seconds without the store.  A single call that was
+# refused or lost takes less, and must not delay the removal of an upstream.
+MIN_OUTAGE_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class OutagePlan:
     """Times of a process that lost the store, in seconds.
 
-    :param call: how long one question to the store waits.
-    :param pause: from its end to the next one.
-    :param keep: how long entries that are missing after the return are
-        believed to come back.
+    :param call: timeout of one probe of the store.
+    :param pause: from the end of a probe to the next one.
+    :param keep: how long entries that are missing after an outage are expected
+        to be written again.
     """
 
     call: float
@@ -49,44 +49,44 @@
 
     @property
     def longest_blind(self) -> float:
-        """Give the longest time from the store's return to an answer."""
+        """Return the longest time from the end of an outage to an answer."""
         return self.call + self.pause
 
 
 def plan_outage(bounds: Bounds) -> OutagePlan:
-    """Derive the times from what the site allows.
+    """Derive the times from those that the site allows.
 
-    :param bounds: times that the site promises.
-    :returns: the plan; all of it together fits into the time allowed.
+    :param bounds: times that the site guarantees.
+    :returns: the plan; its times together fit into the time allowed.
     """
     blind = bounds.contact * BLIND_SHARE
     margin = bounds.contact * MARGIN_SHARE
     return OutagePlan(
         call=blind * CALL_SHARE,
         pause=blind * (1 - CALL_SHARE),
-        keep=min(REWRITTEN_SECONDS, bounds.contact - blind - margin),
+        keep=min(REWRITE_SECONDS, bounds.contact - blind - margin),
     )
 
 
 def is_picture_old(since_replaced: float) -> bool:
-    """Tell whether upstreams that are missing are most probably back already.
+    """Check whether missing upstreams have most probably restarted already.
 
-    After all power was lost, replicas are there before their entries: of 70
-    questions that were refused on such a day 64 had met four replicas in a
-    row that bore another id.
+    After a power loss, replicas run before their entries are written: of 70
+    requests that were refused after one, 64 had met four replicas in a row that
+    had another id.
 
-    :param since_replaced: seconds since an upstream said that it is another
-        start than the one known.
+    :param since_replaced: seconds since an upstream reported another start than
+        the known one.
     :returns: true where entries of the register are worth waiting for.
     """
-    return since_replaced < REWRITTEN_SECONDS
+    return since_replaced < REWRITE_SECONDS
 
 
 def may_have_lapsed(lost_seconds: float) -> bool:
-    """Tell whether entries may have lapsed though their replicas are well.
+    """Check whether entries may have expired though their replicas are healthy.
 
-    :param lost_seconds: from the begin of the first call that failed to the
-        first answer after it.
-    :returns: true where missing entries are waited for.
+    :param lost_seconds: from the start of the first failed call to the first
+        answer after it.
+    :returns: true where missing entries should be waited for.
     """
-    return lost_seconds >= SHORTEST_OUTAGE_SECONDS
+    return lost_seconds >= MIN_OUTAGE_SECONDS
--- a/src/wigeonpier/policy/ownership.py
+++ b/src/wigeonpier/policy/ownership.py
@@ -1,8 +1,9 @@
-"""Names jobs so that a customer finds its own only.
+"""Names jobs so that a customer finds only its own.
 
-The load that it answers: a caller that asks for a job of another customer.  It
-looks where none of its own is, and learns nothing from the answer or its time.
-Two customers may also give the same id to their jobs.
+Addresses a caller that requests the job of another customer.  The lookup uses
+a name that only the caller's own jobs can have, so that neither the answer nor
+its time reveals anything.  Two customers may also give the same id to their
+jobs.
 """
 
 from __future__ import annotations
@@ -10,20 +11,20 @@
 import hashlib
 import re
 
-# Names go into keys of the store, paths and files.
+# Names are used in keys of the store, paths and files.
 PLAIN_NAME = re.compile('[A-Za-z0-9_-]{1,64}')
 DIGEST_BYTES = 16
-# Stands in no plain name, so that the first one ends the customer's.
+# Not part of any plain name, so that the first one ends the customer's name.
 SEPARATOR = '~'
 
 
 def scope_job(customer: str, job: str) -> str:
     """Name a job of a customer.
 
-    :param customer: whose it is, empty for who needs no key.
+    :param customer: its customer, empty for a caller that needs no key.
     :param job: id that the caller gave.
-    :returns: the id inside; the caller's own where nobody needs a key, unless
-        it could be taken for a customer's.
+    :returns: the internal id; the caller's own where no key is needed, unless
+        it could be taken for that of a customer.
     """
     if customer:
         return f'{_make_plain(customer)}{SEPARATOR}{job}'
--- a/src/wigeonpier/policy/prioritygate.py
+++ b/src/wigeonpier/policy/prioritygate.py
@@ -1,8 +1,8 @@
-"""Admits questions to the contest for slots in order of priority.
+"""Admits online requests to the competition for slots in order of priority.
 
-The load that it answers: crests in which all slots are taken, while customers
-of a higher priority wait beside others.  Nobody is admitted while a question of a
-higher rank is held; within one rank all are.
+Addresses load peaks in which all slots are taken while customers of a higher
+priority wait beside others.  While a request of a higher rank is held, no
+lower rank is admitted; within a rank all are.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 
 @dataclass(slots=True)
 class PriorityGate:
-    """Priorities of the questions that one entry holds.
+    """Priorities of the requests that one entry holds.
 
-    :param ranks: how many questions of each rank are held, 0 is the highest.
+    :param ranks: number of held requests by rank, 0 is the highest.
     """
 
     ranks: Counter[int] = field(default_factory=Counter)
 
     def enter(self, rank: int) -> None:
-        """Begin to wait.
+        """Add a held request.
 
-        :param rank: priority of the question.
+        :param rank: priority of the request.
         """
         self.ranks[rank] += 1
 
     def leave(self, rank: int) -> None:
-        """Wait no more.
+        """Remove a held request.
 
-        :param rank: priority of the question.
+        :param rank: priority of the request.
         """
         self.ranks[rank] -= 1
         if not self.ranks[rank]:
             self.ranks.pop(rank)
 
     def is_admitted(self, rank: int) -> bool:
-        """Check whether questions of a rank may request slots now.
+        """Check whether requests of a rank may request slots now.
 
-        :param rank: priority of the question.
+        :param rank: priority of the request.
         :returns: false while one of a higher rank waits.
         """
         return rank <= min(self.ranks, default=rank)
--- a/src/wigeonpier/policy/retry.py
+++ b/src/wigeonpier/policy/retry.py
@@ -1,17 +1,17 @@
-"""Decides whether a request is sent again, within a budget."""
+"""Decides whether a request is sent again, within a retry budget."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-MOST_TRIES = 3
-BUDGET_SHARE = 0.1
-BUDGET_LEAST = 10.0
+MAX_ATTEMPTS = 3
+BUDGET_PER_REQUEST = 0.1
+MAX_BUDGET = 10.0
 
 
 class Fate(StrEnum):
-    """What is known of a try that gave no good answer."""
+    """What is known of an attempt without a good answer."""
 
     not_run = 'not_run'
     may_have_run = 'may_have_run'
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries that an entry may still make; a share of its requests.
+    """Retries that an entry may still make, as a share of its requests.
 
     :param tokens: retries that may be made now.
     """
 
-    tokens: float = BUDGET_LEAST
+    tokens: float = MAX_BUDGET
 
     def note_request(self) -> None:
-        """Earn a share of a retry."""
-        self.tokens = min(BUDGET_LEAST, self.tokens + BUDGET_SHARE)
+        """Add a share of a retry."""
+        self.tokens = min(MAX_BUDGET, self.tokens + BUDGET_PER_REQUEST)
 
     def note_retry(self) -> None:
         """Spend one retry."""
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Try:
-    """One try that ended badly.
+    """A failed attempt.
 
     :param number: 1 for the first.
     :param fate: what is known of it.
@@ -54,11 +54,11 @@
 def may_retry(last: Try, budget: RetryBudget) -> bool:
     """Decide whether to try another upstream.
 
-    :param last: the try that ended badly.
+    :param last: the failed attempt.
     :param budget: retries that may be made.
     :returns: false where the caller gets its final answer now.
     """
-    if last.number >= MOST_TRIES or last.seconds_left <= 0:
+    if last.number >= MAX_ATTEMPTS or last.seconds_left <= 0:
         return False
     if last.fate is Fate.may_have_run and not last.idempotent:
         return False
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -118,7 +118,7 @@
     upstreams: list[UpstreamState],
     ask: Ask,
     now: float,
-    draw: random.Random,
+    rng: random.Random,
 ) -> UpstreamState | None:
     """Choose the upstream of a request.
 
@@ -129,14 +129,14 @@
     :param upstreams: all upstreams that the entry knows.
     :param ask: requirements of the request.
     :param now: seconds.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     :returns: the upstream, ``None`` where none may be used.
     """
     usable = find_usable(upstreams, ask, now)
     if not usable:
         return None
     best = min(
-        draw.sample(usable, min(len(usable), 2)),
+        rng.sample(usable, min(len(usable), 2)),
         key=lambda state: estimate_cost(state, ask, now),
     )
     if not ask.affinity:
--- a/tests/policy/test_outage.py
+++ b/tests/policy/test_outage.py
@@ -7,7 +7,7 @@
 
 from wigeonpier.models import Bounds
 from wigeonpier.policy.outage import (
-    REWRITTEN_SECONDS,
+    REWRITE_SECONDS,
     may_have_lapsed,
     plan_outage,
 )
@@ -24,7 +24,7 @@
 
 def test_entries_that_lapsed_have_their_two_seconds() -> None:
     plan = plan_outage(Bounds(grace=8, job_readable=120, contact=3))
-    assert plan.keep >= REWRITTEN_SECONDS
+    assert plan.keep >= REWRITE_SECONDS
 
 
 def test_a_single_lost_call_is_no_outage() -> None:
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from wigeonpier.policy.retry import (
-    BUDGET_LEAST,
-    BUDGET_SHARE,
+    BUDGET_PER_REQUEST,
+    MAX_BUDGET,
     Fate,
     RetryBudget,
     Try,
@@ -37,7 +37,7 @@
         if failed and may_retry(last, budget):
             budget.note_retry()
             retries += 1
-    assert retries <= BUDGET_LEAST + BUDGET_SHARE * len(failures)
+    assert retries <= MAX_BUDGET + BUDGET_PER_REQUEST * len(failures)
 
 
 def test_no_retry_after_the_deadline() -> None:
