--- a/src/wigeonpier/policy/gate.py
+++ b/src/wigeonpier/policy/gate.py
@@ -18,7 +18,7 @@
 TARGET_MARGIN = 0.97
 MIN_SLOTS = 1
 MOST_SLOTS = 1024
-ONE_RUN_SHARE = 0.25
+RUN_ONCE_SHARE = 0.25
 MAX_GAP_SECONDS = 2.0
 MIN_ONLINE_STREAMS = 16
 ONLINE_OVERLOAD_FACTOR = 4
@@ -121,7 +121,7 @@
     if occupancy.online_waiting or occupancy.online + occupancy.batch >= slots:
         return False
     if is_one_run:
-        return occupancy.one_run < max(1, int(slots * ONE_RUN_SHARE))
+        return occupancy.one_run < max(1, int(slots * RUN_ONCE_SHARE))
     return True
 
 
--- a/src/wigeonpier/policy/pacing.py
+++ b/src/wigeonpier/policy/pacing.py
@@ -102,7 +102,7 @@
     return Pace(start=_choose_to_start(upstream, running, waiting, free_slots))
 
 
-def measure_slack(upstream: UpstreamView, item: ItemView) -> float:
+def compute_slack(upstream: UpstreamView, item: ItemView) -> float:
     """Compute how long an item can still wait.
 
     :param upstream: load of the upstream.
@@ -135,7 +135,7 @@
     """
     if _is_late(upstream, item):
         return False
-    return measure_slack(upstream, item) < URGENT_SLACK_SECONDS
+    return compute_slack(upstream, item) < URGENT_SLACK_SECONDS
 
 
 def _rank(upstream: UpstreamView, item: ItemView) -> tuple[bool, int, float]:
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -224,7 +224,7 @@
     if is_earlier(load.incarnation, state.incarnation):
         return
     if is_earlier(state.incarnation, load.incarnation):
-        _forget_outcomes(state)
+        _clear_outcomes(state)
         state.incarnation = load.incarnation
     state.reported = load.questions
     state.reported_at = now
@@ -286,7 +286,7 @@
         state.failures = 0
 
 
-def _forget_outcomes(state: UpstreamState) -> None:
+def _clear_outcomes(state: UpstreamState) -> None:
     """Clear the failures of an earlier start.
 
     ``is_leaving`` stays: only the register can say that the new start accepts
--- a/src/wigeonpier/policy/schedule.py
+++ b/src/wigeonpier/policy/schedule.py
@@ -53,7 +53,7 @@
         running_items[each.customer] = so_far + each.items_running
 
     def rank(job: JobView) -> tuple[int, float, float, str]:
-        slack = measure_slack(job, now, items_per_second)
+        slack = compute_slack(job, now, items_per_second)
         if slack <= URGENT_SHARE * (job.deadline - job.accepted):
             return 0, slack, 0, job.job
         weight = max(MIN_WEIGHT, weights.get(job.customer, 1))
@@ -62,7 +62,7 @@
     return [job.job for job in sorted(jobs, key=rank)]
 
 
-def measure_slack(job: JobView, now: float, items_per_second: float) -> float:
+def compute_slack(job: JobView, now: float, items_per_second: float) -> float:
     """Estimate the time that a job has to spare.
 
     :param job: the job.
--- a/src/wigeonpier/policy/trial.py
+++ b/src/wigeonpier/policy/trial.py
@@ -13,7 +13,7 @@
 # A run without updates for this long has ended elsewhere, or is a long one that
 # will not crash its upstream any more: upstreams crash within 0.1 s of its
 # start.
-LONGEST_SECONDS = 3.0
+TRIAL_TIMEOUT_SECONDS = 3.0
 
 
 class Company(StrEnum):
@@ -66,7 +66,7 @@
         :param now: seconds of the monotonic clock.
         :returns: the verdict; the same request never runs twice here.
         """
-        self._forget_old(now)
+        self._remove_expired(now)
         if fingerprint in self.trials:
             return Verdict.running
         others = self.trials.values()
@@ -101,9 +101,9 @@
         trial = self.trials.get(fingerprint)
         return trial is not None and trial.since < moment
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         self.trials = {
             fingerprint: trial
             for fingerprint, trial in self.trials.items()
-            if now - trial.since < LONGEST_SECONDS
+            if now - trial.since < TRIAL_TIMEOUT_SECONDS
         }
--- a/tests/policy/test_allowance.py
+++ b/tests/policy/test_allowance.py
@@ -1,4 +1,4 @@
-"""What an entry admits by what it knows of a customer."""
+"""What an entry admits, given what it knows of a customer."""
 
 from __future__ import annotations
 
@@ -24,27 +24,27 @@
     assert estimate(told=30, own=1, demand=2) == 1
 
 
-def test_half_of_what_is_borne_beyond_the_limit_is_made_use_of() -> None:
+def test_half_of_the_tolerance_above_the_limit_is_used() -> None:
     assert LIMIT.margin == 13
     assert estimate(told=72, own=72) > 0
     assert estimate(told=73) == 0
     assert estimate(told=70, unseen=3) == 0
 
 
-def test_near_the_limit_a_part_of_what_comes_is_admitted() -> None:
+def test_near_the_limit_a_share_of_requests_is_admitted() -> None:
     chance = estimate(told=70, own=5, demand=20)
     assert 0 < chance < 1
     assert estimate(told=70, own=5, demand=40) == pytest.approx(chance / 2)
 
 
-def test_a_customer_is_held_to_its_rate_where_counts_may_be_lost() -> None:
+def test_customer_gets_only_its_rate_if_counts_may_be_lost() -> None:
     assert estimate(told=29, certainty=0.5) > 0
     assert estimate(told=36, certainty=0.5) == 0
     assert estimate(told=9, certainty=0) > 0
     assert estimate(told=10, certainty=0) == 0
 
 
-def test_counts_are_certain_where_the_whole_span_is_known() -> None:
+def test_counts_are_certain_if_the_whole_span_is_covered() -> None:
     assert measure_certainty([9, 5], span=5) == 1
     assert measure_certainty([9, 0], span=5) == 0.5
     assert measure_certainty([1, 1], span=5) == 0.2
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -38,7 +38,7 @@
 
 
 @given(RECORDS)
-def test_snapshot_folds_to_the_same_decisions(records) -> None:
+def test_snapshot_replays_to_the_same_decisions(records) -> None:
     ledger = fold_segment(records, 1).ledgers[0]
     again = fold_segment(write_snapshot(0, ledger), 1).ledgers[0]
     for idempotent in (True, False):
@@ -57,7 +57,7 @@
 
 
 @given(RECORDS)
-def test_the_first_result_stands(records) -> None:
+def test_first_result_is_kept(records) -> None:
     ledger = Ledger()
     first = None
     for record in records:
@@ -68,7 +68,7 @@
 
 
 @given(RECORDS)
-def test_work_that_may_have_run_once_is_never_run_again(records) -> None:
+def test_non_idempotent_item_is_never_run_again_after_a_loss(records) -> None:
     ledger = fold_segment(records, 1).ledgers[0]
     note_loss(ledger)
     step = decide_item(ledger, idempotent=False, bounds=BOUNDS)
@@ -77,7 +77,7 @@
 
 
 @given(st.integers(0, 6), st.integers(0, 6), st.integers(0, 6))
-def test_tries_are_bounded(failures: int, losses: int, lone: int) -> None:
+def test_attempts_are_bounded(failures: int, losses: int, lone: int) -> None:
     ledger = Ledger(
         losses=losses,
         lone_losses=min(lone, losses),
@@ -89,7 +89,7 @@
     assert not is_spent or step is not Step.run
 
 
-def test_a_loss_beside_others_makes_a_suspect_and_does_not_blame() -> None:
+def test_losses_beside_others_make_an_item_run_alone() -> None:
     ledger = Ledger()
     for _ in range(10):
         apply_record(ledger, Begin(0, alone=False))
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -19,8 +19,8 @@
     assert pauses == [0.25, 0.5, 1.0, 1.0, 1.0]
 
 
-def test_refusals_during_a_pause_do_not_lengthen_it() -> None:
-    """They belong to attempts that were on their way."""
+def test_refusals_during_a_pause_do_not_extend_it() -> None:
+    """They belong to attempts that were in flight when it started."""
     backoff = Backoff(first=0.25, longest=1.0)
     backoff.record_refusal(10.0)
     for _ in range(8):
@@ -29,7 +29,7 @@
     assert not backoff.is_paused(10.25)
 
 
-def test_a_success_ends_the_series() -> None:
+def test_success_resets_the_pauses() -> None:
     backoff = Backoff(first=0.25, longest=1.0, free_refusals=1)
     assert not backoff.record_refusal(10.0)
     assert backoff.record_refusal(10.0)
@@ -39,10 +39,8 @@
 
 
 @given(st.integers(1, 200), st.floats(0.01, 1))
-def test_a_thousand_refused_attempts_a_second_become_few(
-    callers: int, step: float
-) -> None:
-    """Replays an upstream that refuses all calls for ten seconds."""
+def test_refused_attempts_are_limited(callers: int, step: float) -> None:
+    """Replay an upstream that refuses all calls for ten seconds."""
     backoff = Backoff(first=0.25, longest=2.0, free_refusals=4)
     attempts = 0
     now = 0.0
--- a/tests/policy/test_breaker.py
+++ b/tests/policy/test_breaker.py
@@ -19,7 +19,7 @@
 def replay_refusals(
     breaker: CircuitBreaker, seconds: float, *, has_free_slot: bool
 ) -> int:
-    """Send items into all slots whenever they may be sent; all are refused."""
+    """Send items to all slots as soon as allowed; all are refused."""
     attempts = 0
     for tick in range(int(seconds / TICK_SECONDS)):
         now = tick * TICK_SECONDS
@@ -40,14 +40,14 @@
 
 
 @pytest.mark.parametrize('has_free_slot', [True, False])
-def test_it_opens_only_where_slots_are_free(has_free_slot) -> None:
+def test_breaker_opens_only_if_slots_are_free(has_free_slot) -> None:
     breaker = CircuitBreaker()
     replay_refusals(breaker, 3, has_free_slot=has_free_slot)
     assert breaker.is_open(3) == has_free_slot
     assert not breaker.is_open(3 + OPEN_SECONDS)
 
 
-def test_a_run_closes_it() -> None:
+def test_successful_run_closes_the_breaker() -> None:
     breaker = CircuitBreaker()
     replay_refusals(breaker, 3, has_free_slot=True)
     breaker.record_run()
@@ -55,7 +55,7 @@
     assert not breaker.is_paused(3)
 
 
-def test_a_moment_of_refusals_does_not_open_it() -> None:
+def test_short_series_of_refusals_does_not_open_the_breaker() -> None:
     breaker = CircuitBreaker()
     for _ in range(FREE_REFUSALS + PAUSES_TO_OPEN):
         breaker.record_refusal(1.0, has_free_slot=True)
--- a/tests/policy/test_fingerprint.py
+++ b/tests/policy/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Requests are known again by their content."""
+"""Requests are recognised by their content."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 KNOWN = ('site.example', 'POST', '/ask/1?a=b', b'body')
 
 
-def test_a_repeat_has_the_same_fingerprint() -> None:
+def test_same_request_has_the_same_fingerprint() -> None:
     assert digest_request(*KNOWN) == digest_request(*KNOWN)
 
 
@@ -23,5 +23,5 @@
         ('site.example', 'POST', '/ask/1?a=', b'b\nbody'),
     ],
 )
-def test_another_request_has_another_one(other) -> None:
+def test_different_request_has_a_different_fingerprint(other) -> None:
     assert digest_request(*other) != digest_request(*KNOWN)
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate before an upstream."""
+"""Admission of batch and online streams at an upstream."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     note_gap,
 )
 
-SEEN = st.builds(
+OCCUPANCIES = st.builds(
     lambda online, waiting, batch, one_run: Occupancy(
         online,
         waiting,
@@ -30,7 +30,7 @@
 )
 
 
-@given(SEEN, st.integers(1, 64), st.booleans())
+@given(OCCUPANCIES, st.integers(1, 64), st.booleans())
 def test_no_batch_is_admitted_while_online_waits(
     occupancy, slots, one_run
 ) -> None:
@@ -40,38 +40,42 @@
         assert occupancy.online + occupancy.batch < slots
 
 
-@given(SEEN, st.integers(1, 64))
-def test_as_many_give_way_as_are_in_the_way(occupancy, slots) -> None:
+@given(OCCUPANCIES, st.integers(1, 64))
+def test_preempts_as_many_batch_streams_as_exceed_the_slots(
+    occupancy, slots
+) -> None:
     count = count_to_preempt(occupancy, slots)
-    left = occupancy.online + occupancy.online_waiting + occupancy.batch - count
+    remaining = (
+        occupancy.online + occupancy.online_waiting + occupancy.batch - count
+    )
     assert 0 <= count <= occupancy.batch - occupancy.one_run
-    assert left <= slots or count == occupancy.batch - occupancy.one_run
+    assert remaining <= slots or count == occupancy.batch - occupancy.one_run
 
 
 @given(st.integers(0, 1000), st.floats(0.004, 0.02), st.floats(0.0003, 0.002))
-def test_the_slots_of_an_engine_are_learned(seed, base, slope) -> None:
-    draw = random.Random(seed)
+def test_slots_are_learned_from_gaps(seed, base, slope) -> None:
+    rng = random.Random(seed)
     model = make_model()
     for _ in range(1500):
-        streams = draw.randint(1, 30)
-        noise = draw.uniform(0.97, 1.03)
+        streams = rng.randint(1, 30)
+        noise = rng.uniform(0.97, 1.03)
         note_gap(model, streams, (base + slope * streams) * noise)
-    # It is followed only so far beyond what was seen, 1 to 30 streams.
-    right = min((0.028 * 0.97 - base) / slope, 15.5 * 1.5 + 4)
-    assert abs(count_slots(model, 0.028) - right) <= max(2, right * 0.1)
+    # Extrapolation beyond the measured 1 to 30 streams is limited.
+    expected = min((0.028 * 0.97 - base) / slope, 15.5 * 1.5 + 4)
+    assert abs(count_slots(model, 0.028) - expected) <= max(2, expected * 0.1)
 
 
 @given(st.integers(0, 1000), st.integers(8, 24))
-def test_prompts_that_are_read_do_not_make_the_slots_endless(
+def test_reading_prompts_does_not_inflate_the_slots(
     seed,
     streams,
 ) -> None:
-    """Reading prompts makes long gaps just while few streams run."""
-    draw = random.Random(seed)
+    """Prompts that are read cause long gaps just while few streams run."""
+    rng = random.Random(seed)
     model = make_model()
     for _ in range(3000):
-        arrives = draw.random() < 0.2
-        running = streams // 2 if arrives else streams
-        gap = 0.030 if arrives else 0.024
-        note_gap(model, running, gap + draw.gauss(0, 0.0005))
+        is_reading = rng.random() < 0.2
+        running = streams // 2 if is_reading else streams
+        gap = 0.030 if is_reading else 0.024
+        note_gap(model, running, gap + rng.gauss(0, 0.0005))
     assert count_slots(model, 0.028) <= streams * 2
--- a/tests/policy/test_identity.py
+++ b/tests/policy/test_identity.py
@@ -1,4 +1,4 @@
-"""Who asks, and whether that can be known."""
+"""Which customer a request is from, and whether that can be known."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         (KEYED, 'k', TOO_OLD, True, Verdict.admitted, CUSTOMER),
     ],
 )
-def test_verdicts(
+def test_verdict_depends_on_key_and_age_of_the_configuration(
     configuration, key, knowledge, is_open, verdict, customer
 ) -> None:
     found = identify(configuration, key, knowledge, is_open=is_open)
@@ -42,8 +42,8 @@
     assert found.customer is customer
 
 
-def test_no_name_of_a_job_is_another_customers() -> None:
-    asked = [
+def test_job_names_of_customers_never_collide() -> None:
+    jobs = [
         ('', 'j'),
         ('', 'a~j'),
         ('a', 'j'),
@@ -53,7 +53,7 @@
         ('a/b', 'j'),
         ('a b', 'j'),
     ]
-    named = [scope_job(*one) for one in asked]
-    assert len(set(named)) == len(asked)
+    names = [scope_job(*job) for job in jobs]
+    assert len(set(names)) == len(jobs)
     assert scope_job('', 'j') == 'j'
-    assert all('/' not in name and ' ' not in name for name in named)
+    assert all('/' not in name and ' ' not in name for name in names)
--- a/tests/policy/test_incarnation.py
+++ b/tests/policy/test_incarnation.py
@@ -1,4 +1,4 @@
-"""Which statement about a replica is of its later start."""
+"""Which report about a replica is of its later start."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 @given(STARTS, STARTS)
-def test_of_two_starts_at_most_one_is_earlier(one: int, other: int) -> None:
+def test_at_most_one_of_two_starts_is_earlier(one: int, other: int) -> None:
     assert not (is_earlier(one, other) and is_earlier(other, one))
     assert is_earlier(one, other) == (0 < one < other)
 
 
 @given(STARTS, STARTS, st.integers(1, 3), st.integers(1, 3))
-def test_one_of_two_entries_keeps_an_address(
+def test_exactly_one_of_two_entries_is_later(
     one: int, other: int, created: int, later: int
 ) -> None:
     first, second = (one, created), (other, later)
@@ -28,7 +28,7 @@
         assert comes_after(first, second) != comes_after(second, first)
 
 
-def test_a_later_start_is_not_blamed_for_an_earlier_one() -> None:
+def test_later_start_does_not_inherit_an_ejection() -> None:
     state = build_upstream('up', incarnation=5)
     for _ in range(3):
         note_outcome(state, went_well=False, now=10.0)
@@ -39,8 +39,8 @@
     assert (state.reported, state.takes_work) == (0, True)
 
 
-def test_a_load_does_not_undo_that_an_upstream_leaves() -> None:
-    """Only the register may: else what left would get work again."""
+def test_load_of_a_later_start_does_not_undo_leaving() -> None:
+    """Only the register may; otherwise it would get requests again."""
     state = build_upstream('up', incarnation=5, is_leaving=True)
     note_load(state, QuestionLoad(0, takes_work=True, incarnation=6), 10.1)
     assert state.is_leaving
--- a/tests/policy/test_isolation.py
+++ b/tests/policy/test_isolation.py
@@ -1,4 +1,4 @@
-"""When an entry is cut off from all that could serve a request."""
+"""When an entry is isolated from everything that serves requests."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 @given(st.floats(0, 1e6))
-def test_an_outage_of_the_store_alone_is_no_cut(silent: float) -> None:
+def test_store_outage_alone_is_no_isolation(silent: float) -> None:
     assert not is_cut_off(silent, has_store=True)
     assert not is_cut_off(min(silent, 0.9), has_store=False)
 
 
-def test_the_store_is_asked_before_the_silence_counts() -> None:
+def test_store_is_probed_before_the_entry_counts_as_isolated() -> None:
     assert is_suspicious(0.7)
     assert not is_cut_off(0.7, has_store=False)
     assert is_cut_off(1.1, has_store=False)
--- a/tests/policy/test_jobage.py
+++ b/tests/policy/test_jobage.py
@@ -1,4 +1,4 @@
-"""Ages of jobs where clocks differ."""
+"""Ages of jobs where clocks of VMs differ."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 from wigeonpier.policy.jobage import JobClock
 
-START, STEADY = 1_000_000.0, 50.0
+START, MONOTONIC = 1_000_000.0, 50.0
 
 
-def test_a_jump_of_the_time_of_day_makes_no_job_older() -> None:
-    """Only the steady clock is asked after the start."""
-    clock = JobClock(START, STEADY)
-    assert clock.measure_age(START + 5, STEADY + 6) == 1
+def test_jump_of_the_wall_clock_does_not_change_ages() -> None:
+    """After the start, only the monotonic clock is read."""
+    clock = JobClock(START, MONOTONIC)
+    assert clock.measure_age(START + 5, MONOTONIC + 6) == 1
 
 
 @pytest.mark.parametrize('ahead', [600.0, 4000.0])
-def test_a_clock_that_is_ahead_is_found_out_by_the_next_job(ahead) -> None:
-    clock = JobClock(START + ahead, STEADY)
-    clock.note_arrival(START + 9.9, STEADY + 10)
-    age = clock.measure_age(START + 4, STEADY + 10)
+def test_clock_that_is_ahead_is_corrected_by_the_next_job(ahead) -> None:
+    clock = JobClock(START + ahead, MONOTONIC)
+    clock.note_arrival(START + 9.9, MONOTONIC + 10)
+    age = clock.measure_age(START + 4, MONOTONIC + 10)
     assert 5 <= age <= 6
 
 
-def test_clocks_that_differ_a_little_are_believed() -> None:
-    """A job may be some seconds old when it is seen to arrive."""
-    clock = JobClock(START, STEADY)
-    clock.note_arrival(START + 1, STEADY + 10)
-    assert clock.measure_age(START + 1, STEADY + 10) == 9
+def test_small_clock_skew_is_not_corrected() -> None:
+    """A job may be some seconds old when its arrival is observed."""
+    clock = JobClock(START, MONOTONIC)
+    clock.note_arrival(START + 1, MONOTONIC + 10)
+    assert clock.measure_age(START + 1, MONOTONIC + 10) == 9
 
 
-def test_a_clock_that_is_behind_makes_no_job_older() -> None:
-    clock = JobClock(START - 600, STEADY)
-    clock.note_arrival(START + 9.9, STEADY + 10)
-    assert clock.measure_age(START + 4, STEADY + 10) == 0
+def test_clock_that_is_behind_makes_no_job_older() -> None:
+    clock = JobClock(START - 600, MONOTONIC)
+    clock.note_arrival(START + 9.9, MONOTONIC + 10)
+    assert clock.measure_age(START + 4, MONOTONIC + 10) == 0
--- a/tests/policy/test_matching.py
+++ b/tests/policy/test_matching.py
@@ -20,7 +20,7 @@
     return decode_configuration(raw)
 
 
-def test_the_longest_prefix_of_the_host_wins() -> None:
+def test_longest_prefix_of_the_host_wins() -> None:
     found = match_route(build('/a/', '/a/b/', '/'), HOST, '/a/b/c')
     assert found is not None
     assert found.prefix == '/a/b/'
@@ -32,13 +32,13 @@
     assert match_route(configuration, HOST, '/ab') is None
 
 
-def test_services_are_drawn_by_weight() -> None:
+def test_services_are_chosen_by_weight() -> None:
     route = replace(build('/a/').routes[0], services=(('x', 90.0), ('y', 10.0)))
-    draw = random.Random(1)
-    drawn = Counter(draw_service(route, draw) for _ in range(1000))
-    assert 850 < drawn['x'] < 950
+    rng = random.Random(1)
+    chosen = Counter(draw_service(route, rng) for _ in range(1000))
+    assert 850 < chosen['x'] < 950
 
 
-def test_no_weight_at_all_takes_the_first() -> None:
+def test_first_service_is_chosen_if_all_weights_are_zero() -> None:
     route = replace(build('/a/').routes[0], services=(('x', 0.0), ('y', 0.0)))
     assert draw_service(route, random.Random(1)) == 'x'
--- a/tests/policy/test_outage.py
+++ b/tests/policy/test_outage.py
@@ -1,4 +1,4 @@
-"""How long a process may act on what it knew before an outage."""
+"""How long a process may act on its previous knowledge after an outage."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @given(st.floats(0.1, 60))
-def test_all_of_it_fits_into_what_the_site_allows(contact: float) -> None:
+def test_plan_fits_into_the_time_that_the_site_allows(contact: float) -> None:
     plan = plan_outage(Bounds(grace=8, job_readable=120, contact=contact))
     assert plan.call > 0
     assert plan.pause > 0
@@ -22,11 +22,11 @@
     assert plan.longest_blind + plan.keep < contact
 
 
-def test_entries_that_lapsed_have_their_two_seconds() -> None:
+def test_expired_entries_have_time_to_be_written_again() -> None:
     plan = plan_outage(Bounds(grace=8, job_readable=120, contact=3))
     assert plan.keep >= REWRITE_SECONDS
 
 
-def test_a_single_lost_call_is_no_outage() -> None:
+def test_single_lost_call_is_no_outage() -> None:
     assert not may_have_lapsed(0.3)
     assert may_have_lapsed(2.0)
--- a/tests/policy/test_pacing_ranks.py
+++ b/tests/policy/test_pacing_ranks.py
@@ -1,4 +1,4 @@
-"""Items of a higher priority go before others that are due as soon."""
+"""Items of a higher priority go before others with a similar deadline."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     assert set_pace(full, [low, high], []).pause[-1] == 'low'
 
 
-def test_what_is_late_already_holds_nothing_up() -> None:
+def test_late_items_do_not_delay_others() -> None:
     upstream = UpstreamView(2, running=0, waiting=0, run_seconds=5)
     late = ItemView('late', seconds_left=1, done_share=0, priority=0)
-    sound = ItemView('sound', seconds_left=20, done_share=0, priority=2)
-    assert set_pace(upstream, [], [late, sound]).start[0] == 'sound'
+    punctual = ItemView('sound', seconds_left=20, done_share=0, priority=2)
+    assert set_pace(upstream, [], [late, punctual]).start[0] == 'sound'
--- a/tests/policy/test_crests.py
+++ b/tests/policy/test_peakmodel.py
@@ -1,25 +1,25 @@
-"""Where questions go while crests take nearly all slots."""
+"""Where online requests go while load peaks take nearly all slots."""
 
 from __future__ import annotations
 
 import pytest
 
 from tests.builders import build_upstream
-from tests.policy.crests import ASK, Crests
+from tests.policy.peakmodel import ASK, PeakModel
 from wigeonpier.models import QuestionLoad
 from wigeonpier.policy.route import estimate_cost, find_usable, note_load
 
 
 @pytest.mark.parametrize(('rate', 'most'), [(125, 0.03), (145, 0.09)])
-def test_a_fed_load_keeps_questions_in_time(rate: float, most: float) -> None:
-    """Without it 0.07 and 0.15 of them are late."""
-    fed = Crests(rate, is_fed=True).run()
-    blind = Crests(rate, is_fed=False).run()
-    assert fed < most
-    assert fed < blind / 2
+def test_load_feed_keeps_requests_in_time(rate: float, most: float) -> None:
+    """Without the feed, 0.07 and 0.15 of the requests are late."""
+    with_feed = PeakModel(rate, has_feed=True).run()
+    without_feed = PeakModel(rate, has_feed=False).run()
+    assert with_feed < most
+    assert with_feed < without_feed / 2
 
 
-def test_what_was_sent_since_counts() -> None:
+def test_requests_sent_since_the_report_count() -> None:
     state = build_upstream('vm-1', in_hand=5)
     note_load(state, QuestionLoad(2, takes_work=True), 10.0)
     before = estimate_cost(state, ASK, now=10.0)
@@ -28,7 +28,7 @@
     assert estimate_cost(state, ASK, now=10.0) == 4 / 8
 
 
-def test_a_load_that_is_not_told_any_more_is_not_trusted() -> None:
+def test_outdated_feed_load_is_ignored() -> None:
     state = build_upstream('vm-1')
     note_load(state, QuestionLoad(7, takes_work=False), 10.0)
     other = build_upstream('vm-2')
@@ -36,7 +36,7 @@
     assert find_usable([state, other], ASK, 12.0) == [state, other]
 
 
-def test_upstreams_that_all_seem_ill_are_used_all_the_same() -> None:
+def test_half_of_all_upstreams_stay_usable_if_all_report_unhealthy() -> None:
     states = [build_upstream(f'vm-{number}') for number in range(4)]
     for state in states:
         note_load(state, QuestionLoad(0, takes_work=False), 10.0)
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -24,12 +24,12 @@
     return [Member(name, SERVICE, 'a') for name in sorted(names)]
 
 
-def test_nobody_owns_items_where_nobody_is_there() -> None:
+def test_items_have_no_owner_without_members() -> None:
     assert deal_items('j', 2, [], [], 0) == (NOBODY, NOBODY)
 
 
-def test_a_burst_of_jobs_is_spread_evenly() -> None:
-    """Ten jobs within a second, each accepted with what stands by then."""
+def test_burst_of_jobs_is_spread_evenly() -> None:
+    """Ten jobs within a second, each assigned by the load at that time."""
     members = build_members([f'vm-{number}' for number in range(6)])
     jobs = []
     for number in range(10):
@@ -37,8 +37,11 @@
         jobs.append(
             make_open_job(f'j{number}', owners=owners, sent_at=0.1 * number)
         )
-    held = Counter(owner for job in jobs for owner in job.owners)
-    assert max(held.values()) - min(held.values()) <= 2 * ITEMS_PER_ASSIGNMENT
+    assigned = Counter(owner for job in jobs for owner in job.owners)
+    assert (
+        max(assigned.values()) - min(assigned.values())
+        <= 2 * ITEMS_PER_ASSIGNMENT
+    )
 
 
 def test_old_jobs_count_less() -> None:
@@ -49,7 +52,7 @@
 
 
 @given(NAMES, st.integers(1, 30), st.text('abc', min_size=1))
-def test_a_job_wakes_few_processes(names, count, job) -> None:
+def test_job_is_assigned_to_few_processes(names, count, job) -> None:
     owners = deal_items(job, count, build_members(names), [], 0)
     assert len(owners) == count
     assert set(owners) <= names
--- a/tests/policy/test_prioritygate.py
+++ b/tests/policy/test_prioritygate.py
@@ -1,4 +1,4 @@
-"""Who asks for a slot among the questions that an entry holds."""
+"""Which held requests of an entry may request a slot."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from wigeonpier.policy.prioritygate import PriorityGate
 
 
-def test_nobody_asks_before_a_higher_rank() -> None:
+def test_lower_rank_is_not_admitted_before_a_higher_one() -> None:
     gate = PriorityGate()
     gate.enter(2)
     gate.enter(0)
@@ -19,26 +19,26 @@
     assert gate.is_admitted(5)
 
 
-def test_within_one_rank_all_ask() -> None:
+def test_all_requests_of_one_rank_are_admitted() -> None:
     gate = PriorityGate()
-    for _question in range(5):
+    for _request in range(5):
         gate.enter(1)
     assert gate.is_admitted(1)
     gate.leave(1)
     assert gate.is_admitted(1)
 
 
-def test_a_higher_rank_waits_for_no_lower_one_in_a_crest() -> None:
-    """Questions of two ranks for one slot that comes free at a time."""
+def test_higher_rank_is_served_first_in_a_load_peak() -> None:
+    """Requests of two ranks compete for one slot at a time."""
     gate = PriorityGate()
-    draw = random.Random(1)
+    rng = random.Random(1)
     held = [0] * 20 + [3] * 100
     for rank in held:
         gate.enter(rank)
     served = []
     while held:
-        asking = [rank for rank in held if gate.is_admitted(rank)]
-        rank = draw.choice(asking)
+        admitted = [rank for rank in held if gate.is_admitted(rank)]
+        rank = rng.choice(admitted)
         held.remove(rank)
         gate.leave(rank)
         served.append(rank)
--- a/tests/policy/test_progress.py
+++ b/tests/policy/test_progress.py
@@ -1,4 +1,4 @@
-"""Text of running items is kept where a loss would make them late."""
+"""Text of running items is saved where a loss would make them late."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 SAVE_SECONDS = 2.5
 
 
-def test_what_can_run_again_in_time_is_not_kept() -> None:
+def test_items_that_can_run_again_in_time_are_not_saved() -> None:
     assert not is_worth_keeping(DUE_SECONDS, RUN_SECONDS, SAVE_SECONDS)
     assert is_worth_keeping(
         TAKEOVER_SECONDS + RUN_SECONDS,
@@ -21,32 +21,36 @@
     assert is_worth_keeping(-1, RUN_SECONDS, SAVE_SECONDS)
 
 
-def test_a_loss_at_any_moment_makes_no_item_late() -> None:
-    """Items that wait up to 10 s, run for 4 s, and lose their process."""
-    draw = random.Random(1)
-    calls = 0
-    looks = 0
+def test_loss_at_any_time_makes_no_item_late() -> None:
+    """Items wait up to 10 s, run for 4 s, and lose their process."""
+    rng = random.Random(1)
+    saves = 0
+    checks = 0
     for _item in range(2000):
-        began = draw.uniform(0, 10)
-        lost_after = draw.uniform(0, RUN_SECONDS)
-        kept = 0.0
-        look = SAVE_SECONDS * draw.random()
-        while look < lost_after:
-            looks += 1
-            left = DUE_SECONDS - began - look
-            if is_worth_keeping(left, RUN_SECONDS, SAVE_SECONDS):
-                kept = look
-                calls += 1
-            look += SAVE_SECONDS
-        again = began + lost_after + TAKEOVER_SECONDS
-        could_be = again + RUN_SECONDS - lost_after <= DUE_SECONDS
-        is_late = again + RUN_SECONDS - kept > DUE_SECONDS
-        # What is lost before it is looked at first is lost either way.
-        assert not is_late or not could_be or lost_after - kept < SAVE_SECONDS
-    assert calls < looks
-
-
-def test_an_item_that_starts_at_once_costs_no_call() -> None:
-    for look in range(int(RUN_SECONDS)):
-        left = DUE_SECONDS - look
-        assert not is_worth_keeping(left, RUN_SECONDS, SAVE_SECONDS)
+        started_at = rng.uniform(0, 10)
+        lost_after = rng.uniform(0, RUN_SECONDS)
+        saved = 0.0
+        check_at = SAVE_SECONDS * rng.random()
+        while check_at < lost_after:
+            checks += 1
+            seconds_left = DUE_SECONDS - started_at - check_at
+            if is_worth_keeping(seconds_left, RUN_SECONDS, SAVE_SECONDS):
+                saved = check_at
+                saves += 1
+            check_at += SAVE_SECONDS
+        resumed_at = started_at + lost_after + TAKEOVER_SECONDS
+        can_be_in_time = resumed_at + RUN_SECONDS - lost_after <= DUE_SECONDS
+        is_late = resumed_at + RUN_SECONDS - saved > DUE_SECONDS
+        # Text produced before the first check is lost in any case.
+        assert (
+            not is_late
+            or not can_be_in_time
+            or lost_after - saved < SAVE_SECONDS
+        )
+    assert saves < checks
+
+
+def test_item_that_starts_at_once_is_never_saved() -> None:
+    for check_at in range(int(RUN_SECONDS)):
+        seconds_left = DUE_SECONDS - check_at
+        assert not is_worth_keeping(seconds_left, RUN_SECONDS, SAVE_SECONDS)
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -16,7 +16,7 @@
 
 
 @given(st.integers(1, 5), st.floats(-1, 10), st.floats(0, 10))
-def test_work_that_may_have_run_once_is_not_sent_again(
+def test_non_idempotent_request_that_may_have_run_is_not_retried(
     number,
     seconds,
     tokens,
@@ -28,7 +28,7 @@
 
 
 @given(st.lists(st.booleans(), max_size=400))
-def test_retries_are_a_share_of_requests(failures) -> None:
+def test_retries_are_limited_to_a_share_of_requests(failures) -> None:
     budget = RetryBudget()
     retries = 0
     for failed in failures:
--- a/tests/policy/test_route.py
+++ b/tests/policy/test_route.py
@@ -24,9 +24,9 @@
 ASK = Ask('s', 'm', '', 'a', 'r')
 STATES = st.lists(
     st.builds(
-        lambda leaving, ejected, in_hand, centre: {
-            'is_leaving': leaving,
-            'ejected_until': ejected,
+        lambda is_leaving, ejected_until, in_hand, centre: {
+            'is_leaving': is_leaving,
+            'ejected_until': ejected_until,
             'in_hand': in_hand,
             'data_centre': centre,
         },
@@ -47,7 +47,7 @@
 
 
 @given(STATES, st.floats(0, 30), st.integers(), st.sampled_from(('', 'abc')))
-def test_leaving_upstreams_get_no_work(parts, now, seed, affinity) -> None:
+def test_leaving_upstreams_get_no_requests(parts, now, seed, affinity) -> None:
     states = _build(parts)
     ask = Ask('s', 'm', affinity, 'a', 'r')
     chosen = choose_upstream(states, ask, now, random.Random(seed))
@@ -57,7 +57,7 @@
 
 
 @given(STATES, st.floats(0, 30))
-def test_never_are_all_taken_out(parts, now) -> None:
+def test_at_most_half_of_the_upstreams_are_ejected(parts, now) -> None:
     states = _build(parts)
     staying = [state for state in states if not state.is_leaving]
     usable = find_usable(states, ASK, now)
@@ -65,7 +65,7 @@
 
 
 @given(st.lists(st.booleans(), max_size=40))
-def test_bad_outcomes_in_a_row_take_an_upstream_out(outcomes) -> None:
+def test_failures_in_a_row_eject_an_upstream(outcomes) -> None:
     state = build_upstream('vm-1')
     streak = 0
     for number, went_well in enumerate(outcomes):
@@ -76,45 +76,50 @@
             streak = 0
 
 
-def test_an_upstream_is_let_back_gently() -> None:
+def test_load_ramps_up_after_an_ejection() -> None:
     state = build_upstream('vm-1')
     for _ in range(3):
         note_outcome(state, went_well=False, now=0)
-    back = state.ejected_until
-    costs = [estimate_cost(state, ASK, back + wait) for wait in (0.1, 2, 6)]
+    ejected_until = state.ejected_until
+    costs = [
+        estimate_cost(state, ASK, ejected_until + wait) for wait in (0.1, 2, 6)
+    ]
     assert costs[0] > costs[1] > costs[2]
 
 
-def test_the_own_count_goes_before_an_old_report() -> None:
+def test_own_count_outweighs_an_old_report() -> None:
     state = build_upstream('vm-1', in_hand=2, reported=20, reported_at=0.0)
     fresh = estimate_cost(state, ASK, now=0.0)
     old = estimate_cost(state, ASK, now=30.0)
     assert fresh > old == (2 + 1) / 8
 
 
-def test_affinity_gives_way_to_load() -> None:
+def test_load_overrides_affinity() -> None:
     ask = Ask('s', 'm', 'prefix', 'a', 'r')
     states = [build_upstream(f'vm-{number}') for number in range(4)]
-    draw = random.Random(1)
-    home = choose_upstream(states, ask, 0, draw)
-    assert choose_upstream(states, ask, 0, draw) is home
-    home.in_hand = 8
-    assert choose_upstream(states, ask, 0, draw) is not home
+    rng = random.Random(1)
+    preferred = choose_upstream(states, ask, 0, rng)
+    assert choose_upstream(states, ask, 0, rng) is preferred
+    preferred.in_hand = 8
+    assert choose_upstream(states, ask, 0, rng) is not preferred
 
 
-def test_the_nearest_data_centre_is_left_before_queues_form() -> None:
+def test_other_data_centre_is_used_before_queues_form() -> None:
     near = build_upstream('near')
     far = build_upstream('far', data_centre='b')
-    draw = random.Random(1)
-    assert choose_upstream([near, far], ASK, 0, draw) is near
+    rng = random.Random(1)
+    assert choose_upstream([near, far], ASK, 0, rng) is near
     near.in_hand = 5
-    assert choose_upstream([near, far], ASK, 0, draw) is far
+    assert choose_upstream([near, far], ASK, 0, rng) is far
+
 
+def test_crashed_upstreams_get_no_requests_even_if_most_crashed() -> None:
+    """Crashed upstreams are excluded until their leases have expired.
 
-def test_what_has_ended_gets_nothing_even_where_most_have() -> None:
-    """Of six upstreams four had ended within 0.43 s, and went on being sent to
-    for 2.9 s, until their leases had run out; questions that met three of them
-    in a row were lost (`no connection`)."""
+    Four of six upstreams crashed within 0.43 s and were sent requests for
+    another 2.9 s; requests that met three of them in a row were lost
+    (`no connection`).
+    """
     parts = [{} for _ in range(6)]
     upstreams = _build(parts)
     for state in upstreams[:4]:
@@ -124,8 +129,8 @@
         assert {state.name for state in usable} == {'vm-4', 'vm-5'}
 
 
-def test_what_has_ended_is_back_when_it_is_told_of() -> None:
-    """Not by a load that was on its way when it ended."""
+def test_crashed_upstream_is_usable_when_it_reports_again() -> None:
+    """A load that was in flight when it crashed does not count."""
     (state,) = _build([{}])
     note_end(state, 10.0)
     load = QuestionLoad(0, takes_work=True)
--- a/tests/policy/test_runlengths.py
+++ b/tests/policy/test_runlengths.py
@@ -1,11 +1,11 @@
-"""How long batch items run."""
+"""Estimates of run times and lengths of batch items."""
 
 from __future__ import annotations
 
 from wigeonpier.policy.runlengths import RunLengths
 
 
-def test_run_time_is_learned() -> None:
+def test_mean_run_time_converges() -> None:
     lengths = RunLengths(seconds=6.0)
     for _run in range(30):
         lengths.record(4.0, 150)
--- a/tests/policy/test_schedule.py
+++ b/tests/policy/test_schedule.py
@@ -1,4 +1,4 @@
-"""Order of batch jobs."""
+"""Order of batch jobs, placement of copies, and page sizes."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     return JobView(job=job, customer=customer, **(parts | changes))
 
 
-def test_a_large_job_neither_starves_small_ones_nor_is_starved() -> None:
-    left = {'large': 530_000, 'small': 2_000}
-    given_out: Counter[str] = Counter()
+def test_large_and_small_jobs_share_the_capacity() -> None:
+    items_left = {'large': 530_000, 'small': 2_000}
+    started: Counter[str] = Counter()
     for _ in range(60):
         views = [
-            _view(job, job, items_left=count, items_running=given_out[job])
-            for job, count in left.items()
+            _view(job, job, items_left=count, items_running=started[job])
+            for job, count in items_left.items()
         ]
-        given_out[order_jobs(views, {}, 0, 1000)[0]] += 1000
-    assert given_out == {'large': 30_000, 'small': 30_000}
+        started[order_jobs(views, {}, 0, 1000)[0]] += 1000
+    assert started == {'large': 30_000, 'small': 30_000}
 
 
-def test_a_job_that_would_be_late_goes_first() -> None:
+def test_job_that_would_be_late_goes_first() -> None:
     views = [
         _view('busy', 'a'),
         _view('late', 'b', items_left=80_000, items_running=90_000),
@@ -47,42 +47,42 @@
 
 
 def test_weights_share_the_capacity() -> None:
-    given_out: Counter[str] = Counter()
+    started: Counter[str] = Counter()
     for _ in range(90):
         views = [
-            _view(name, name, items_running=given_out[name])
+            _view(name, name, items_running=started[name])
             for name in ('double', 'single')
         ]
-        given_out[order_jobs(views, {'double': 2}, 0, 1000)[0]] += 10
-    assert given_out['double'] == 2 * given_out['single']
+        started[order_jobs(views, {'double': 2}, 0, 1000)[0]] += 10
+    assert started['double'] == 2 * started['single']
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans()), max_size=9))
 def test_copies_are_spread_over_data_centres(parts) -> None:
     disks = [
-        build_disk(f'd{number}', f'dc{centre}', (1 << 40) if has_room else 0)
-        for number, (centre, has_room) in enumerate(parts)
+        build_disk(f'd{number}', f'dc{centre}', (1 << 40) if has_space else 0)
+        for number, (centre, has_space) in enumerate(parts)
     ]
     chosen = choose_copies(disks, 'key', 3)
-    roomy = [disk for disk in disks if disk.free_bytes >= MIN_FREE_BYTES]
-    centres = {disk.data_centre for disk in roomy}
-    assert len(chosen) == min(3, len(roomy))
+    with_room = [disk for disk in disks if disk.free_bytes >= MIN_FREE_BYTES]
+    centres = {disk.data_centre for disk in with_room}
+    assert len(chosen) == min(3, len(with_room))
     assert len({disk.incarnation for disk in chosen}) == len(chosen)
     assert len({disk.data_centre for disk in chosen}) == min(3, len(centres))
 
 
 @given(st.sets(st.text(min_size=1, max_size=5), min_size=2, max_size=9))
-def test_a_name_that_goes_moves_only_its_own_keys(names) -> None:
+def test_removing_a_name_moves_only_its_own_keys(names) -> None:
     ordered = sorted(names)
-    gone = ordered[0]
+    removed = ordered[0]
     for key in ('a', 'b', 'c', 'd'):
         before = rank_by_key(ordered, key)
         after = rank_by_key(ordered[1:], key)
-        assert after == [name for name in before if name != gone]
+        assert after == [name for name in before if name != removed]
         assert choose_subset(ordered, key, 2) == before[:2]
 
 
-def test_pages_start_small_and_grow_to_a_thousand() -> None:
+def test_pages_start_small_and_grow_to_full_size() -> None:
     sizes = [choose_page_size(index) for index in range(100)]
     assert sizes == sorted(sizes)
     assert sizes[-1] == FULL_PAGE_LINES
--- a/tests/policy/test_silence.py
+++ b/tests/policy/test_silence.py
@@ -1,4 +1,4 @@
-"""How long an upstream may be silent."""
+"""How long an upstream may be unresponsive."""
 
 from __future__ import annotations
 
@@ -11,20 +11,24 @@
     limit_silence,
 )
 
-CALLER_LEAVES_SECONDS = 2.4
+CALLER_TIMEOUT_SECONDS = 2.4
 
 
-def test_a_dark_upstream_is_left_before_the_caller_leaves() -> None:
-    """Two silent upstreams in a row still leave the caller time to wait."""
+def test_unresponsive_upstreams_time_out_before_the_caller() -> None:
+    """Two unresponsive upstreams in a row leave the caller time to wait."""
     first = limit_silence(5, may_go_elsewhere=True, has_events=False)
     later = limit_silence(4, may_go_elsewhere=True, has_events=True)
     assert first == FIRST_EVENT_SECONDS
     assert later == BETWEEN_EVENTS_SECONDS
-    assert first + later < CALLER_LEAVES_SECONDS
+    assert first + later < CALLER_TIMEOUT_SECONDS
 
 
 @given(st.floats(-1, 60), st.booleans())
-def test_silence_alone_ends_nothing_that_cannot_go_on(left, events) -> None:
-    limit = limit_silence(left, may_go_elsewhere=False, has_events=events)
-    assert limit >= left
+def test_timeout_is_all_that_is_left_without_another_upstream(
+    seconds_left, has_events
+) -> None:
+    limit = limit_silence(
+        seconds_left, may_go_elsewhere=False, has_events=has_events
+    )
+    assert limit >= seconds_left
     assert limit > 0
--- a/tests/policy/test_suspicion.py
+++ b/tests/policy/test_suspicion.py
@@ -1,4 +1,4 @@
-"""A request that ends upstreams is told from those that ran with it."""
+"""Requests that crash upstreams are distinguished from those beside them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     judge_request,
 )
 from wigeonpier.policy.trial import (
-    LONGEST_SECONDS,
+    TRIAL_TIMEOUT_SECONDS,
     Company,
     TrialTable,
     Verdict,
@@ -25,11 +25,11 @@
 
 V1 = frozenset(('v1',))
 UPSTREAMS = 5
-SHARING = 8
+REQUESTS = 8
 
 
 def build_suspect(*alone: bool, version: str = 'v1') -> Suspect:
-    """Make one under which so many upstreams ended, some of them alone."""
+    """Make a suspect; each argument is a crash and says if it was alone."""
     suspect = Suspect()
     for number, was_alone in enumerate(alone):
         suspect.add(End(f'i-{number}', version, float(number), was_alone))
@@ -48,7 +48,7 @@
         ((False, False, False, False), Standing.refused),
     ],
 )
-def test_nobody_is_refused_without_proof(alone, standing) -> None:
+def test_run_mode_follows_from_shared_and_lone_crashes(alone, standing) -> None:
     assert judge_request(build_suspect(*alone), V1) is standing
 
 
@@ -61,64 +61,70 @@
         ((False, False, False, False, False, False), True),
     ],
 )
-def test_where_others_end_too_one_end_alone_is_no_proof(
+def test_one_lone_crash_is_no_proof_where_others_crash_too(
     alone,
     is_culprit,
 ) -> None:
-    """A request that several callers sent alike was refused for what befell
-    all: three upstreams ended ten times in 8 s, seven under another one."""
+    """One lone crash proves nothing where other upstreams crash as well.
+
+    A request that several callers sent with the same content was refused:
+    three upstreams crashed ten times in 8 s, seven times under another one.
+    """
     assert is_proved(build_suspect(*alone), 1) is is_culprit
 
 
-class RestlessUpstreams:
-    """Upstreams that end at random, as a release or a faulty VM does."""
+class UnstableUpstreams:
+    """Upstreams that crash at random, as with a bad release or a faulty VM."""
 
-    def __init__(self, seed: int, ends_a_second: float) -> None:
-        self.draw = random.Random(seed)
-        self.ends_a_second = ends_a_second
-        self.ended = 0
+    def __init__(self, seed: int, crashes_per_second: float) -> None:
+        self.rng = random.Random(seed)
+        self.crashes_per_second = crashes_per_second
+        self.crashes = 0
 
     def run(
-        self, suspect: Suspect, seconds: float, until_output: float
+        self, suspect: Suspect, seconds: float, seconds_to_output: float
     ) -> bool:
-        """Run a request; whether it reached its end."""
-        ends_at = self.draw.expovariate(self.ends_a_second)
-        if ends_at >= seconds:
+        """Run a request and return whether it completed."""
+        crashes_at = self.rng.expovariate(self.crashes_per_second)
+        if crashes_at >= seconds:
             return True
-        self.ended += 1
+        self.crashes += 1
         suspect.add(
             End(
-                f'i-{self.ended}',
+                f'i-{self.crashes}',
                 'v1',
-                float(self.ended),
+                float(self.crashes),
                 judge_request(suspect, V1) is Standing.alone,
-                had_output=ends_at >= until_output,
+                had_output=crashes_at >= seconds_to_output,
             ),
         )
         suspect.is_culprit = is_proved(suspect, 1)
         return False
 
 
-def test_upstreams_that_end_by_themselves_convict_nobody() -> None:
-    """A batch item was refused for two ends 0.12 and 0.22 s into its runs.
+def test_random_crashes_confirm_no_culprit() -> None:
+    """Random crashes of upstreams cause almost no refusals.
 
-    Three upstreams ended ten times in 8 s; its job never finished.
+    A batch item was refused for two crashes, 0.12 and 0.22 s into its runs,
+    while three upstreams crashed ten times in 8 s; its job never finished.
     """
-    upstreams = RestlessUpstreams(seed=5, ends_a_second=0.42)
-    convicted = 0
+    upstreams = UnstableUpstreams(seed=5, crashes_per_second=0.42)
+    refused = 0
     for _ in range(20_000):
         suspect = Suspect()
-        while not upstreams.run(suspect, seconds=0.4, until_output=0.02):
+        while not upstreams.run(suspect, seconds=0.4, seconds_to_output=0.02):
             if suspect.is_culprit:
-                convicted += 1
+                refused += 1
                 break
-    assert convicted <= 2
+    assert refused <= 2
 
 
-def test_an_item_that_gets_on_from_crash_to_crash_is_not_refused() -> None:
-    """It had 61, 238 and 267 events, alone in the last run, and was given up.
+def test_item_with_progress_between_crashes_is_not_refused() -> None:
+    """Crashes after more and more output do not confirm a culprit.
 
-    Replicas were crashed in waves; nobody else was suspected by then.
+    An item that had produced 61, 238 and 267 events, alone in its last run, was
+    refused while replicas were crashed in waves and no other request was
+    suspected.
     """
     suspect = Suspect()
     for number in range(4):
@@ -134,7 +140,7 @@
         assert not is_proved(suspect, 0)
 
 
-def test_who_ends_upstreams_late_is_refused_in_the_end() -> None:
+def test_culprit_that_crashes_after_output_is_refused_eventually() -> None:
     suspect = Suspect()
     for number in range(8):
         assert not is_proved(suspect, 0)
@@ -144,7 +150,7 @@
     assert is_proved(suspect, 0)
 
 
-def test_who_ends_each_upstream_is_convicted_among_restless_ones() -> None:
+def test_culprit_is_confirmed_among_unstable_upstreams() -> None:
     suspect = Suspect()
     for number in range(
         CRASHES_BEFORE_ISOLATION + UNSTABLE_LONE_CRASHES_TO_QUARANTINE
@@ -156,14 +162,14 @@
     assert suspect.is_culprit
 
 
-def test_one_end_told_twice_counts_once_and_keeps_the_proof() -> None:
+def test_crash_reported_twice_counts_once_and_stays_lone() -> None:
     suspect = build_suspect(False, False)
     assert not suspect.add(End('i-1', 'v1', 1.2, was_alone=False))
     assert suspect.add(End('i-1', 'v1', 1.2, was_alone=True))
     assert [end.was_alone for end in suspect.ends] == [False, True]
 
 
-def test_another_version_is_tried_once() -> None:
+def test_culprit_is_tried_once_on_another_version() -> None:
     suspect = build_suspect(False, False, True)
     both = frozenset(('v1', 'v2'))
     assert judge_request(suspect, both) is Standing.alone
@@ -171,61 +177,64 @@
     assert judge_request(suspect, both) is Standing.refused
 
 
-def test_who_is_not_seen_is_forgotten() -> None:
+def test_request_not_seen_for_long_is_forgotten() -> None:
     suspect = build_suspect(False, False, True)
     last = suspect.ends[-1].at
     assert not suspect.is_forgotten(last + MEMORY_SECONDS - 1)
     assert suspect.is_forgotten(last + MEMORY_SECONDS + 1)
 
 
-def test_who_runs_alone_is_beside_nobody() -> None:
-    book = TrialTable()
-    book.enter('a', Company.nobody, 0)
+def test_lone_run_allows_no_other() -> None:
+    table = TrialTable()
+    table.enter('a', Company.nobody, 0)
     for company in Company:
-        assert book.ask('b', company, 1) is Verdict.occupied
-    assert book.ask('a', Company.nobody, 1) is Verdict.running
-    book.leave('a')
-    assert book.ask('b', Company.nobody, 1) is Verdict.granted
+        assert table.ask('b', company, 1) is Verdict.occupied
+    assert table.ask('a', Company.nobody, 1) is Verdict.running
+    table.leave('a')
+    assert table.ask('b', Company.nobody, 1) is Verdict.granted
 
 
-def test_who_runs_apart_bears_latecomers_but_not_the_lone() -> None:
-    book = TrialTable()
-    book.enter('a', Company.latecomers, 0)
-    assert book.ask('b', Company.latecomers, 1) is Verdict.occupied
-    assert book.ask('b', Company.nobody, 1) is Verdict.occupied
-    assert book.ask('b', Company.anybody, 1) is Verdict.granted
-    assert book.ask('b', Company.nobody, LONGEST_SECONDS + 1) is Verdict.granted
+def test_run_apart_allows_latecomers_but_no_lone_run() -> None:
+    table = TrialTable()
+    table.enter('a', Company.latecomers, 0)
+    assert table.ask('b', Company.latecomers, 1) is Verdict.occupied
+    assert table.ask('b', Company.nobody, 1) is Verdict.occupied
+    assert table.ask('b', Company.anybody, 1) is Verdict.granted
+    assert (
+        table.ask('b', Company.nobody, TRIAL_TIMEOUT_SECONDS + 1)
+        is Verdict.granted
+    )
 
 
 @pytest.mark.parametrize('seed', range(20))
-def test_a_culprit_among_others_ends_three_and_no_other_is_refused(
+def test_culprit_crashes_three_upstreams_and_no_other_is_refused(
     seed: int,
 ) -> None:
-    """A handful share the first end; what is run again meets others there."""
-    draw = random.Random(seed)
-    names = [f'q{number}' for number in range(SHARING)]
-    culprit = draw.choice(names)
+    """Requests share the first crash; each rerun meets others there."""
+    rng = random.Random(seed)
+    names = [f'q{number}' for number in range(REQUESTS)]
+    culprit = rng.choice(names)
     suspects = {name: Suspect() for name in names}
-    ended = 0
-    together = [names]
-    while ended < UPSTREAMS and together:
-        group = together.pop()
-        is_lone = len(group) == 1 and len(suspects[group[0]].ends) > 1
+    crashes = 0
+    groups = [names]
+    while crashes < UPSTREAMS and groups:
+        group = groups.pop()
+        is_alone = len(group) == 1 and len(suspects[group[0]].ends) > 1
         if culprit not in group:
             continue
-        ended += 1
+        crashes += 1
         for name in group:
-            suspects[name].add(End(f'i-{ended}', 'v1', ended, is_lone))
+            suspects[name].add(End(f'i-{crashes}', 'v1', crashes, is_alone))
             suspects[name].is_culprit = is_proved(suspects[name], 0)
-        places = [[] for _ in range(UPSTREAMS)]
+        upstreams = [[] for _ in range(UPSTREAMS)]
         for name in group:
             standing = judge_request(suspects[name], V1)
             if standing is Standing.alone:
-                together.append([name])
+                groups.append([name])
             elif standing is Standing.apart:
-                min(places, key=len).append(name)
-        together += [place for place in places if place]
-    assert ended == 3
+                min(upstreams, key=len).append(name)
+        groups += [upstream for upstream in upstreams if upstream]
+    assert crashes == 3
     refused = [
         name
         for name in names
@@ -234,9 +243,9 @@
     assert refused == [culprit]
 
 
-def test_a_place_is_as_old_as_who_took_it() -> None:
-    book = TrialTable()
-    book.enter('a', Company.latecomers, 1)
-    assert book.is_older('a', 1.5)
-    assert not book.is_older('a', 1)
-    assert not book.is_older('b', 1.5)
+def test_is_older_compares_the_start_of_the_run() -> None:
+    table = TrialTable()
+    table.enter('a', Company.latecomers, 1)
+    assert table.is_older('a', 1.5)
+    assert not table.is_older('a', 1)
+    assert not table.is_older('b', 1.5)
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -1,11 +1,11 @@
-"""When a question leaves the queue that it waits in."""
+"""When an online request leaves the queue that it waits in."""
 
 from __future__ import annotations
 
 import pytest
 
 from tests.builders import build_upstream
-from tests.policy.crests import Crests
+from tests.policy.peakmodel import PeakModel
 from wigeonpier.models import QuestionLoad
 from wigeonpier.policy.route import note_load
 from wigeonpier.policy.waiting import (
@@ -18,20 +18,20 @@
 
 
 @pytest.mark.parametrize(('rate', 'most'), [(125, 0.015), (145, 0.06)])
-def test_moves_keep_questions_in_time(rate: float, most: float) -> None:
-    """Without them 0.02 and 0.07 are late, though loads are told."""
-    moving = Crests(rate, is_fed=True, is_moving=True)
-    late = moving.run()
+def test_moves_keep_requests_in_time(rate: float, most: float) -> None:
+    """Without moves 0.02 and 0.07 are late, even with load feeds."""
+    with_moves = PeakModel(rate, has_feed=True, can_move=True)
+    late = with_moves.run()
     assert late < most
-    assert late < Crests(rate, is_fed=True).run()
-    assert moving.moves < len(moving.waits) / 5
+    assert late < PeakModel(rate, has_feed=True).run()
+    assert with_moves.moves < len(with_moves.waits) / 5
 
 
 @pytest.mark.parametrize(
     ('here', 'there', 'moves'),
     [(9, 7, True), (8, 7, False), (9, 8, False)],
 )
-def test_a_queue_here_and_room_there_are_needed(
+def test_moves_need_a_queue_here_and_a_free_slot_there(
     here: int,
     there: int,
     moves: bool,
@@ -43,7 +43,7 @@
     assert decided is (Wait.move if moves else Wait.stay)
 
 
-def test_loads_that_are_not_fresh_move_nothing() -> None:
+def test_outdated_loads_cause_no_moves() -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
     note_load(current, QuestionLoad(9, takes_work=True), 10.0)
     note_load(other, QuestionLoad(0, takes_work=True), 8.0)
@@ -51,24 +51,30 @@
     assert not may_return(other, 10.1)
 
 
-@pytest.mark.parametrize(('left', 'rate'), [(22, 145), (22, 160)])
-def test_who_is_late_lets_others_be_in_time(left: int, rate: float) -> None:
-    """Where questions come faster than upstreams answer, all wait in vain."""
-    kept = Crests(rate, is_fed=True, is_moving=True, upstreams=left)
-    yielding = Crests(
+@pytest.mark.parametrize(('upstreams', 'rate'), [(22, 145), (22, 160)])
+def test_late_requests_step_back_so_that_others_are_in_time(
+    upstreams: int, rate: float
+) -> None:
+    """Requests arrive faster than upstreams answer, so that all queue."""
+    without_step_back = PeakModel(
+        rate, has_feed=True, can_move=True, upstreams=upstreams
+    )
+    with_step_back = PeakModel(
         rate,
-        is_fed=True,
-        is_moving=True,
-        is_yielding=True,
-        upstreams=left,
+        has_feed=True,
+        can_move=True,
+        can_step_back=True,
+        upstreams=upstreams,
+    )
+    assert with_step_back.run() < 0.75 * without_step_back.run()
+    assert max(with_step_back.waits) < 4
+    mean = sum(with_step_back.waits) / len(with_step_back.waits)
+    assert mean < 1.3 * sum(without_step_back.waits) / len(
+        without_step_back.waits
     )
-    assert yielding.run() < 0.75 * kept.run()
-    assert max(yielding.waits) < 4
-    mean = sum(yielding.waits) / len(yielding.waits)
-    assert mean < 1.3 * sum(kept.waits) / len(kept.waits)
 
 
-def test_only_who_is_late_steps_back_and_only_from_a_queue() -> None:
+def test_only_late_requests_step_back_and_only_from_a_queue() -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
     note_load(current, QuestionLoad(9, takes_work=True), 10.0)
     note_load(other, QuestionLoad(9, takes_work=True), 10.0)
@@ -78,8 +84,8 @@
     assert decide_wait(current, other, Waited(1.0, 1.0), 10.1) is Wait.stay
 
 
-def test_an_upstream_without_a_queue_is_not_waited_for_long() -> None:
-    """One that takes requests and is mute cost 1.2 s of each."""
+def test_unresponsive_upstream_without_a_queue_is_left_early() -> None:
+    """An unresponsive upstream that accepted requests cost 1.2 s of each."""
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
     note_load(current, QuestionLoad(3, takes_work=True), 10.0)
     note_load(other, QuestionLoad(3, takes_work=True), 10.0)
@@ -89,7 +95,7 @@
     assert decide_wait(current, other, Waited(2.0, 2.0), 10.1) is Wait.stay
 
 
-def test_who_steps_back_keeps_time_for_its_answer() -> None:
+def test_step_back_leaves_time_for_the_answer() -> None:
     assert limit_step_back(4.7) == 1.5
     assert limit_step_back(1.0) == 0.5
     other = build_upstream('vm-2')
--- a/tests/policy/test_window.py
+++ b/tests/policy/test_window.py
@@ -16,15 +16,15 @@
 LIMIT = 12
 
 
-def sorted_by_time(
+def sort_by_time(
     arrivals: list[tuple[float, float | None]],
 ) -> list[tuple[float, float | None]]:
-    """Order arrivals, each with when it is given back."""
+    """Sort arrivals, each with the delay until it is given back."""
     return sorted(arrivals, key=lambda arrival: arrival[0])
 
 
 def admit(arrivals: list[float]) -> list[float]:
-    """Admit what fits, and give when it came."""
+    """Admit arrivals that fit, and return their times."""
     window = Window(SECONDS)
     admitted = []
     for now in arrivals:
@@ -37,13 +37,13 @@
 @given(st.lists(st.floats(0, 20), max_size=200).map(sorted))
 def test_no_span_holds_more_than_the_limit(arrivals: list[float]) -> None:
     admitted = admit(arrivals)
-    for begin in admitted:
-        end = begin + SECONDS
-        assert sum(begin <= at < end for at in admitted) <= LIMIT
+    for started_at in admitted:
+        end = started_at + SECONDS
+        assert sum(started_at <= at < end for at in admitted) <= LIMIT
 
 
 @given(st.lists(st.floats(0, 20), min_size=20, max_size=200).map(sorted))
-def test_who_comes_back_when_told_is_admitted(arrivals: list[float]) -> None:
+def test_retry_after_the_given_wait_is_admitted(arrivals: list[float]) -> None:
     window = Window(SECONDS)
     for now in arrivals:
         wait = time_until_available([window], LIMIT, 1, now)
@@ -55,12 +55,12 @@
     )
 
 
-def test_a_calm_customer_is_never_refused() -> None:
+def test_customer_below_its_limit_is_never_refused() -> None:
     arrivals = [number / 2.3 for number in range(200)]
     assert admit(arrivals) == arrivals
 
 
-def test_what_was_not_used_is_given_back() -> None:
+def test_unused_amount_is_given_back() -> None:
     window = Window(SECONDS)
     spend(window, 1, 1)
     spend(window, -1, 1.2)
@@ -68,7 +68,7 @@
     assert sum_spent(window, 30) == 0
 
 
-def test_a_busy_customer_costs_little_memory() -> None:
+def test_busy_customer_needs_little_memory() -> None:
     window = Window(SECONDS)
     for number in range(10_000):
         spend(window, 1, number / 1000)
@@ -79,13 +79,13 @@
     st.lists(
         st.tuples(st.floats(0, 20), st.none() | st.floats(0.01, 4)),
         max_size=200,
-    ).map(sorted_by_time),
+    ).map(sort_by_time),
 )
-def test_what_did_not_run_frees_no_more_than_it_took(arrivals) -> None:
+def test_refund_frees_no_more_than_was_spent(arrivals) -> None:
     """Some requests are given back seconds after they were admitted.
 
-    Recorded as a negative amount, each of them counted against requests that
-    came later, from the moment at which its own had left the window.
+    When each was recorded as a negative amount, it freed room for later
+    requests once its own amount had left the window.
     """
     window = Window(SECONDS)
     returns: list[float] = []
@@ -101,11 +101,13 @@
             kept.append(now)
         else:
             returns.append(now + given_back_after)
-    for begin in kept:
-        assert sum(begin <= at < begin + SECONDS for at in kept) <= LIMIT
+    for started_at in kept:
+        assert (
+            sum(started_at <= at < started_at + SECONDS for at in kept) <= LIMIT
+        )
 
 
-def test_room_is_free_at_once_where_a_request_did_not_run() -> None:
+def test_refund_frees_room_at_once() -> None:
     window = Window(SECONDS)
     spend(window, LIMIT, 0.0)
     assert time_until_available([window], LIMIT, 1, 1.0)
@@ -114,11 +116,11 @@
     assert sum_spent(window, SECONDS * 2) == 0
 
 
-def test_requests_that_did_not_run_free_no_room_twice() -> None:
+def test_refund_does_not_free_room_twice() -> None:
     window = Window(SECONDS)
     spend(window, LIMIT, 0.0)
     spend(window, -LIMIT, 2.0)
     spend(window, LIMIT, 3.0)
-    # The first twelve have left the window; those of 3.0 have not.
+    # The first twelve have left the window; those spent at 3.0 have not.
     assert time_until_available([window], LIMIT, 1, 5.5)
     assert sum_spent(window, 5.5) == LIMIT
