--- a/src/wigeonpier/policy/allowance.py
+++ b/src/wigeonpier/policy/allowance.py
@@ -122,8 +122,8 @@
 def measure_certainty(covered: list[float], span: float) -> float:
     """Compute how much of a span is covered by the reports of all counters.
 
-    :param covered: per counting process, since when its counts are known here,
-        seconds; 0 for a process that is not reporting.
+    :param covered: per counting process, for how long its counts have been
+        known here, seconds; 0 for a process that is not reporting.
     :param span: length of the span, seconds.
     :returns: from 0 to 1.
     """
--- a/src/wigeonpier/policy/fingerprint.py
+++ b/src/wigeonpier/policy/fingerprint.py
@@ -3,7 +3,7 @@
 Addresses a caller that retries the same request at any entry, each time under
 another id.  The fingerprint covers the content that an upstream receives and
 the customer, so that the requests of one customer never cause another one's
-to be refused.  On hosts without keys, two callers that send the same bytes to
+to be refused.  Where no keys are used, two callers that send the same bytes to
 the same path send the same request.
 """
 
--- a/src/wigeonpier/policy/freshness.py
+++ b/src/wigeonpier/policy/freshness.py
@@ -34,7 +34,7 @@
 
     :param age: seconds since the configuration was known to be the newest.
     :param bound: seconds within which the revocation of a key has to take
-        effect, 0 where no bound is configured.
+        effect, 0 for no bound.
     :returns: false where the key may have been revoked too long ago.
     """
     return not bound or age < bound * AUTHORIZE_SHARE
--- a/src/wigeonpier/policy/identity.py
+++ b/src/wigeonpier/policy/identity.py
@@ -47,7 +47,7 @@
 
     :param age: seconds since it was known to be the newest.
     :param bound: seconds after which a revoked key must not be accepted, 0
-        where no bound is configured.
+        for no bound.
     """
 
     age: float
--- a/src/wigeonpier/policy/isolation.py
+++ b/src/wigeonpier/policy/isolation.py
@@ -7,14 +7,14 @@
 isolated entry refuses at once and leaves the rotation of the load balancer, so
 that callers go to entries that can serve them.
 
-An outage of the store alone, or the loss of the load of all upstreams alone,
-is no isolation: only both together are, and one line of load ends it.
+An outage of the store alone, or the loss of the workers of all upstreams
+alone, is no isolation: only both together are, and one line of load ends it.
 """
 
 from __future__ import annotations
 
-# The local process of each upstream reports its load at least each 0.5 s, even
-# if unchanged, so two such lines of all upstreams are missing then.
+# The worker of each upstream reports its load at least each 0.5 s, even if
+# unchanged, so two such lines of all upstreams are missing then.
 SILENT_SECONDS = 1.0
 # Leaves time to probe the store before the process counts as isolated.
 PROBE_SECONDS = 0.6
--- a/src/wigeonpier/policy/outage.py
+++ b/src/wigeonpier/policy/outage.py
@@ -1,11 +1,12 @@
 """Decides how soon a process probes a lost store, and what it still relies on.
 
-Addresses a process that was isolated, or a store outage, that ends a moment
-before upstreams leave.  From then on the site allows one time, ``contact``, in
-which the process may act on its previous knowledge; noticing the end of the
-outage, reading again and keeping missing entries share it.  When views used
-pauses of their own, they were blind for 0.8 s after an isolation and kept an
-upstream that had left for 2.4 s more, 0.2 s longer than allowed.
+Addresses an isolation of a process, or an outage of the store, that ends a
+moment before upstreams leave.  From then on the site allows one time,
+``contact``, in which the process may act on its previous knowledge; noticing
+the end of the outage, reading again and keeping missing entries share it.
+When views used pauses of their own, they were blind for 0.8 s after an
+isolation and kept an upstream that had left for 2.4 s more, 0.2 s longer than
+allowed.
 """
 
 from __future__ import annotations
--- a/src/wigeonpier/policy/pacing.py
+++ b/src/wigeonpier/policy/pacing.py
@@ -94,10 +94,10 @@
     :param waiting: items that could run there.
     :returns: items to start or to pause.
     """
-    questions = max(0, upstream.running + upstream.waiting - len(running))
-    free_slots = max(0, upstream.slots - RESERVED_SLOTS - questions)
+    online_requests = max(0, upstream.running + upstream.waiting - len(running))
+    free_slots = max(0, upstream.slots - RESERVED_SLOTS - online_requests)
     allowed = max(free_slots, count_firm(upstream, running))
-    if questions and len(running) > allowed:
+    if online_requests and len(running) > allowed:
         return Pace(pause=_choose_to_pause(upstream, running, allowed))
     return Pace(start=_choose_to_start(upstream, running, waiting, free_slots))
 
--- a/src/wigeonpier/policy/reservation.py
+++ b/src/wigeonpier/policy/reservation.py
@@ -34,8 +34,8 @@
 ROUND_SECONDS = 0.02
 # Factor of the pause for a request that is late already.
 LATE_ROUND_FACTOR = 3.0
-# Share of the latency objective after which an unanswered reservation is given
-# up.
+# Share of the latency objective after which an unanswered reservation request
+# is abandoned.
 ASK_SHARE = 0.2
 # Share of the time of the request, so that the answer still fits.
 HOLD_SHARE = 0.5
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -151,8 +151,8 @@
 ) -> list[UpstreamState]:
     """Find the upstreams that may get a request.
 
-    At most half of the upstreams are left out because of failures.  If more
-    were ejected, those whose ejection ends soonest are used.
+    At most half of the upstreams are left out because of failures or an
+    unhealthy report.  If more were, those whose ejection ends soonest are used.
 
     :param upstreams: all upstreams that the entry knows.
     :param ask: requirements of the request.
--- a/src/wigeonpier/policy/suspicion.py
+++ b/src/wigeonpier/policy/suspicion.py
@@ -30,8 +30,8 @@
     from collections.abc import Set
 
 # In a service that loses several upstreams a second, a second crash is more
-# likely to be chance than not.  Three crashes with one of them alone, or four,
-# identify a cause.
+# likely to be chance than not, so it only isolates the request.  Three crashes
+# with one of them alone, or four, identify a cause.
 CRASHES_BEFORE_ISOLATION = 2
 CRASHES_TO_QUARANTINE = 3
 CRASHES_TO_QUARANTINE_WITHOUT_LONE = 4
@@ -98,10 +98,10 @@
         :returns: whether it adds information.
         """
         self.kept_at = max(self.kept_at, end.at)
-        known = [one for one in self.ends if one.upstream == end.upstream]
+        known = [crash for crash in self.ends if crash.upstream == end.upstream]
         if known and (known[0].was_alone or not end.was_alone):
             return False
-        self.ends = [one for one in self.ends if one not in known]
+        self.ends = [crash for crash in self.ends if crash not in known]
         self.ends.append(end)
         return True
 
--- a/tests/policy/test_pacing.py
+++ b/tests/policy/test_pacing.py
@@ -210,10 +210,10 @@
     rng = random.Random(seed)
     items: dict[tuple[str, int], ModelItem] = {}
     completed: list[tuple[float, bool]] = []
-    questions: list[float] = []
+    online_ends: list[float] = []
     for step in range(int(seconds / TICK_SECONDS)):
         now = step * TICK_SECONDS
-        questions = [ends_at for ends_at in questions if ends_at > now]
+        online_ends = [ends_at for ends_at in online_ends if ends_at > now]
         if rng.random() < TRIPLES_PER_SECOND * TICK_SECONDS:
             for number in range(3):
                 length = max(0.2, rng.gauss(1, 0.25))
@@ -233,9 +233,9 @@
         view = replace(build_view(), deviation=deviation)
         held = count_firm(view, active)
         is_arriving = rng.random() < RATES[now % 5.8 > 3.4] * TICK_SECONDS
-        if is_arriving and len(questions) + held < SLOTS:
-            questions.append(now + 0.72)
-        load = len(questions) + len(active)
+        if is_arriving and len(online_ends) + held < SLOTS:
+            online_ends.append(now + 0.72)
+        load = len(online_ends) + len(active)
         view = replace(
             view,
             running=min(load, SLOTS),
