--- a/src/wigeonpier/hosted/acceptance.py
+++ b/src/wigeonpier/hosted/acceptance.py
@@ -1,4 +1,4 @@
-"""Accepts jobs: in the store, or on disks while it is out of reach."""
+"""Accepts jobs in the store, or on disks while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from result import Err
 
 from wigeonpier.errors import ErrorKind, Ran, Refusal
-from wigeonpier.hosted.holder import Holding
+from wigeonpier.hosted.holder import DiskWrite
 from wigeonpier.models import OpenJob
 from wigeonpier.platform.port import Failure
 from wigeonpier.policy.matching import draw_service
@@ -36,21 +36,21 @@
         ServedRoute,
     )
 
-# A caller waits 4 s for an answer and comes again once; half of that leaves
-# it the time to do so.
-HAND_IN_SECONDS = 2.0
-# Where the outcome of a write is not known, it is asked for longer: saying
-# too early that it failed could be untrue.
-CERTAIN_SECONDS = 3.4
-PAUSE_SECONDS = 0.15
+# A caller waits 4 s for an answer and retries once; half of that leaves time
+# for that attempt.
+ACCEPT_TIMEOUT_SECONDS = 2.0
+# A write with an unknown outcome is retried for longer, since an early
+# failure answer could be wrong.
+UNCERTAIN_TIMEOUT_SECONDS = 3.4
+RETRY_PAUSE_SECONDS = 0.15
 RETRY_AFTER_SECONDS = 1.0
-# The store answers in 4 ms; where it takes longer than this the disks are
-# asked, so that the caller has its answer within 0.4 s.
-STORE_SECONDS = 0.12
+# The store usually answers in 4 ms.  After this time-out the disks are tried,
+# so that the caller gets its answer within 0.4 s.
+STORE_TIMEOUT_SECONDS = 0.12
 
 
-class Place(StrEnum):
-    """Where an accepted job is."""
+class AcceptOutcome(StrEnum):
+    """Where an accepted job is kept; ``stood`` if it was accepted before."""
 
     store = 'store'
     stood = 'stood'
@@ -58,14 +58,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedJob:
-    """A job as it was handed in.
-
-    :param name: its id.
-    :param host: host that the caller named.
-    :param route: its route.
-    :param items: its items.
-    :param customer: whose it is, empty where nobody needs a key.
+class SubmittedJob:
+    """A job as submitted by a caller.
+
+    :param name: id of the job.
+    :param host: host of the caller's request.
+    :param route: route of the job.
+    :param items: items of the job.
+    :param customer: owner of the job, empty where no key is required.
     :param priority: rank of its items, 0 is the highest.
     """
 
@@ -78,17 +78,17 @@
 
     @property
     def tokens(self) -> int:
-        """Count the tokens of all items."""
+        """Sum the tokens of all items."""
         return sum(item.tokens for item in self.items)
 
     @property
     def account(self) -> tuple[str, str]:
-        """Give what its tokens are counted under: route and customer."""
+        """Return the route and customer whose token limit applies."""
         return (self.route.name, self.customer)
 
 
 class JobAcceptor:
-    """Accepts each job once, however often it is handed in."""
+    """Accepts each job once, even if it is submitted repeatedly."""
 
     def __init__(
         self,
@@ -96,81 +96,87 @@
         views: JobViews,
         holder: JobHolder,
         reach: Reach,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Keep jobs in the ledger, or have them held."""
+        """Accept jobs into the ledger, or onto disks through the holder."""
         self._reach = reach
         self._ledger = ledger
         self._views = views
         self._holder = holder
-        self._draw = draw
-        # Tokens that were held on disks since the board was read last.
+        self._rng = rng
+        # Tokens of jobs stored on disks since the board was last read.
         self._held_tokens: Counter[tuple[str, str]] = Counter()
 
-    def accept(self, job: HandedJob) -> Place:
-        """Keep a job.
+    def accept(self, job: SubmittedJob) -> AcceptOutcome:
+        """Store a job.
 
         :param job: the job.
-        :returns: where it is.
-        :raises Refusal: where it is not kept; the kind says whether it may
-            be.
+        :returns: where it is kept.
+        :raises Refusal: if the job is not known to be kept; the kind says
+            whether it may be.
         """
-        began = time.monotonic()
-        may_stand = False
+        started_at = time.monotonic()
+        may_be_kept = False
         while True:
             outcome = self._try_store(job)
             if not isinstance(outcome, Failure):
                 return outcome
-            holding = self._try_hold(job)
-            if holding.copies >= self._holder.copies_needed:
-                return Place.disks
-            may_stand |= holding.may_stand or outcome is Failure.unknown
-            patience = self._limit_patience(may_stand=may_stand)
-            if time.monotonic() - began > patience:
-                raise _refuse_unsure(job, may_stand=may_stand)
-            gevent.sleep(PAUSE_SECONDS)
-
-    def _limit_patience(self, *, may_stand: bool) -> float:
-        if may_stand:
-            return CERTAIN_SECONDS
-        return 0 if self._reach.is_cut_off else HAND_IN_SECONDS
-
-    def _try_store(self, job: HandedJob) -> Place | Failure:
-        read = self._ledger.read_board(STORE_SECONDS)
+            disk_write = self._try_disks(job)
+            if disk_write.copies >= self._holder.copies_needed:
+                return AcceptOutcome.disks
+            may_be_kept |= disk_write.may_be_kept or outcome is Failure.unknown
+            timeout = self._choose_timeout(may_be_kept=may_be_kept)
+            if time.monotonic() - started_at > timeout:
+                raise _make_uncertain_refusal(job, may_be_kept=may_be_kept)
+            gevent.sleep(RETRY_PAUSE_SECONDS)
+
+    def _choose_timeout(self, *, may_be_kept: bool) -> float:
+        if may_be_kept:
+            return UNCERTAIN_TIMEOUT_SECONDS
+        return 0 if self._reach.is_cut_off else ACCEPT_TIMEOUT_SECONDS
+
+    def _try_store(self, job: SubmittedJob) -> AcceptOutcome | Failure:
+        read = self._ledger.read_board(STORE_TIMEOUT_SECONDS)
         if isinstance(read, Err):
             return read.err_value
         board = read.ok_value
-        self._holder.note_board(board)
+        self._holder.record_board(board)
         self._held_tokens.clear()
         if job.name in board.jobs:
-            return Place.stood
+            return AcceptOutcome.stood
         if not self._has_room(board, job):
-            return self._find_standing(job)
-        planned = self._plan(job)
+            return self._find_existing(job)
+        open_job = self._make_open_job(job)
         owners = deal_items(
             job.name,
             len(job.items),
-            board.list_members(planned.service),
+            board.list_members(open_job.service),
             list(board.jobs.values()),
-            planned.sent_at,
+            open_job.sent_at,
+        )
+        open_job = replace(open_job, owners=owners)
+        created = self._ledger.create(
+            open_job, job.items, STORE_TIMEOUT_SECONDS
         )
-        planned = replace(planned, owners=owners)
-        created = self._ledger.create(planned, job.items, STORE_SECONDS)
         if created == Err(Failure.conflict):
-            return Place.stood
-        return created.err_value if isinstance(created, Err) else Place.store
+            return AcceptOutcome.stood
+        return (
+            created.err_value
+            if isinstance(created, Err)
+            else AcceptOutcome.store
+        )
 
-    def _find_standing(self, job: HandedJob) -> Place | Failure:
-        """Tell a job that is sent again from one that does not fit."""
+    def _find_existing(self, job: SubmittedJob) -> AcceptOutcome | Failure:
+        """Distinguish a resubmitted job from one over the token limit."""
         found = self._ledger.read_head(job.name)
         if isinstance(found, Err):
             return found.err_value
         if found.ok_value is None:
-            raise _refuse_full(job)
-        return Place.stood
+            raise _make_full_refusal(job)
+        return AcceptOutcome.stood
 
-    def _try_hold(self, job: HandedJob) -> Holding:
-        """Have the disks keep a job that the store does not take now."""
+    def _try_disks(self, job: SubmittedJob) -> DiskWrite:
+        """Store a job on the disks since the store does not accept it now."""
         waiting = _sum_tokens(self._holder.board, job)
         if not may_take_blindly(
             waiting,
@@ -178,18 +184,18 @@
             job.tokens,
             job.route.most_tokens,
         ):
-            return Holding()
-        holding = self._holder.hold(self._plan(job), job.items)
-        if holding.copies >= self._holder.copies_needed:
+            return DiskWrite()
+        disk_write = self._holder.hold(self._make_open_job(job), job.items)
+        if disk_write.copies >= self._holder.copies_needed:
             self._held_tokens[job.account] += job.tokens
-        return holding
+        return disk_write
 
-    def _plan(self, job: HandedJob) -> OpenJob:
+    def _make_open_job(self, job: SubmittedJob) -> OpenJob:
         return OpenJob(
             name=job.name,
             route=job.route.name,
             host=job.host,
-            service=draw_service(job.route, self._draw),
+            service=draw_service(job.route, self._rng),
             sent_at=time.time(),
             run_objective=job.route.run_objective,
             retention=job.route.retention,
@@ -200,19 +206,19 @@
             priority=job.priority,
         )
 
-    def _has_room(self, board: Board, job: HandedJob) -> bool:
-        most = job.route.most_tokens
-        if not most:
+    def _has_room(self, board: Board, job: SubmittedJob) -> bool:
+        limit = job.route.most_tokens
+        if not limit:
             return True
-        # Items that are done count here until their job is; only where that
-        # does not fit, the results of each job are looked at.
+        # The board counts completed items until their whole job is done.  The
+        # results of single jobs are read only if the new job would not fit.
         waiting = _sum_tokens(board, job) + job.tokens
         for other in board.jobs.values():
-            if waiting <= most:
+            if waiting <= limit:
                 break
             if (other.route, other.customer) == job.account:
                 waiting -= self._count_done_tokens(other)
-        return waiting <= most
+        return waiting <= limit
 
     def _count_done_tokens(self, job: OpenJob) -> int:
         view = self._views.find(job.name)
@@ -221,8 +227,8 @@
         return sum(items[placed.index].tokens for placed in view.results)
 
 
-def _sum_tokens(board: Board, job: HandedJob) -> int:
-    """Sum the tokens of the customer's jobs on the route."""
+def _sum_tokens(board: Board, job: SubmittedJob) -> int:
+    """Sum the tokens of the customer's open jobs on the route."""
     return sum(
         other.tokens
         for other in board.jobs.values()
@@ -230,9 +236,9 @@
     )
 
 
-def _refuse_unsure(job: HandedJob, *, may_stand: bool) -> Refusal:
-    log_event(Event.job_refused, job=job.name, may_stand=may_stand)
-    if may_stand:
+def _make_uncertain_refusal(job: SubmittedJob, *, may_be_kept: bool) -> Refusal:
+    log_event(Event.job_refused, job=job.name, may_stand=may_be_kept)
+    if may_be_kept:
         return Refusal(
             ErrorKind.upstream_lost,
             'it is not known whether the job is kept',
@@ -245,7 +251,7 @@
     )
 
 
-def _refuse_full(job: HandedJob) -> Refusal:
+def _make_full_refusal(job: SubmittedJob) -> Refusal:
     log_event(
         Event.job_refused,
         job=job.name,
--- a/src/wigeonpier/hosted/holder.py
+++ b/src/wigeonpier/hosted/holder.py
@@ -1,4 +1,4 @@
-"""Has jobs kept on disks while the store does not take them."""
+"""Stores jobs on disks while the key-value store does not accept them."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
     from wigeonpier.models import DiskMember, HostSettings, JobItem, OpenJob
     from wigeonpier.web.pool import ConnectionPool
 
-# A disk syncs in 1 to 2 ms; one that takes longer than this is not waited
-# for, since a caller wants its answer within 0.4 s.
-KEEP_SECONDS = 0.15
-# Disks that came are known by then, at one call to the store.
-BOARD_SECONDS = 20.0
-BOARD_STEP_SECONDS = 1.0
-# A job that disks hold is in the store within seconds of its return.
-HELD_SECONDS = 20.0
+# A disk syncs in 1 to 2 ms.  Slower ones are not waited for, since a caller
+# needs its answer within 0.4 s.
+DISK_TIMEOUT_SECONDS = 0.15
+# Interval for rereading the list of disks, one call to the store each time.
+BOARD_REFRESH_SECONDS = 20.0
+BOARD_CHECK_SECONDS = 1.0
+# The disks write their jobs to the store within seconds of its recovery.
+ASSUME_HELD_SECONDS = 20.0
 
 
-class Copy(StrEnum):
-    """What is known of one copy."""
+class CopyState(StrEnum):
+    """Whether one disk has a copy of a job."""
 
     confirmed = 'confirmed'
     unsure = 'unsure'
@@ -45,33 +45,34 @@
 
 
 @dataclass(slots=True)
-class Holding:
-    """How a job was kept on disks.
+class DiskWrite:
+    """Outcome of storing a job on disks.
 
-    :param copies: disks that confirmed it.
-    :param may_stand: whether any disk may have it.
+    :param copies: disks that confirmed the write.
+    :param may_be_kept: whether any disk may have the job.
     """
 
     copies: int = 0
-    may_stand: bool = False
+    may_be_kept: bool = False
 
 
 def _ignore_board(_board: Board) -> None:
-    """Leave it to who wants more of the board than jobs and disks."""
+    """Ignore a board; the default callback."""
 
 
 @dataclass(slots=True)
 class JobHolder:
     """Sends jobs to the processes with disks.
 
-    :param settings: what the process was told.
-    :param ledger: jobs in the store, to learn who has a disk.
+    :param settings: settings of the process.
+    :param ledger: source of the board, which lists the disks.
     :param pool: connections to the disks.
     :param board: the board as last read.
-    :param read_at: when it was read.
-    :param held: when jobs were held, by id.
+    :param read_at: when it was read, seconds of the monotonic clock.
+    :param held: when each job was stored on disks, by id, likewise.
     :param on_board: called with each board that was read.
-    :param wait: waits so many seconds, and for the return of a lost store.
+    :param wait: waits the given seconds; while the store is lost, until it
+        answers again.
     """
 
     settings: HostSettings
@@ -85,15 +86,15 @@
 
     @property
     def copies_needed(self) -> int:
-        """Count the copies of which one survives the loss allowed."""
+        """Return the copies needed to survive the tolerated disk losses."""
         return self.settings.disks_lost + 1
 
     def start(self) -> None:
-        """Begin to follow who has a disk."""
+        """Start tracking which processes have a disk."""
         spawn_loop('board', self._step)
 
-    def note_board(self, board: Board) -> None:
-        """Take in the board that somebody read.
+    def record_board(self, board: Board) -> None:
+        """Use a board that was just read.
 
         :param board: the board.
         """
@@ -102,65 +103,76 @@
         self.on_board(board)
 
     def is_held(self, name: str) -> bool:
-        """Tell whether disks may hold a job that the store lacks.
+        """Check whether disks may hold a job that the store lacks.
 
         :param name: id of the job.
-        :returns: true for a while after it was held.
+        :returns: true for a limited time after the job was stored on disks.
         """
         held_at = self.held.get(name)
-        return held_at is not None and time.monotonic() - held_at < HELD_SECONDS
+        return (
+            held_at is not None
+            and time.monotonic() - held_at < ASSUME_HELD_SECONDS
+        )
 
-    def hold(self, job: OpenJob, items: list[JobItem]) -> Holding:
-        """Have a job kept on all disks in reach.
+    def hold(self, job: OpenJob, items: list[JobItem]) -> DiskWrite:
+        """Store a job on all known disks.
 
         :param job: the job.
         :param items: its items.
-        :returns: how many confirmed it in time.
+        :returns: how many disks confirmed it in time.
         """
         disks = list(self.board.disks.values())
         if len(disks) < self.copies_needed:
-            return Holding()
+            return DiskWrite()
         body = msgspec.json.encode(HeldJob(job, tuple(items)))
         sends = [
             gevent.spawn(self._send, disk, job.name, body) for disk in disks
         ]
-        gevent.joinall(sends, timeout=2 * KEEP_SECONDS)
-        copies = [send.value or Copy.unsure for send in sends]
+        gevent.joinall(sends, timeout=2 * DISK_TIMEOUT_SECONDS)
+        copies = [send.value or CopyState.unsure for send in sends]
         gevent.killall(sends, block=False)
-        holding = Holding(
-            copies.count(Copy.confirmed),
-            may_stand=set(copies) != {Copy.not_kept},
+        disk_write = DiskWrite(
+            copies.count(CopyState.confirmed),
+            may_be_kept=set(copies) != {CopyState.not_kept},
         )
-        if holding.copies >= self.copies_needed:
-            self._note_held(job.name)
-        return holding
+        if disk_write.copies >= self.copies_needed:
+            self._record_held(job.name)
+        return disk_write
 
-    def _note_held(self, name: str) -> None:
+    def _record_held(self, name: str) -> None:
         now = time.monotonic()
         self.held = {
             other: held_at
             for other, held_at in self.held.items()
-            if now - held_at < HELD_SECONDS
+            if now - held_at < ASSUME_HELD_SECONDS
         }
         self.held[name] = now
 
-    def _send(self, disk: DiskMember, name: str, body: bytes) -> Copy:
+    def _send(self, disk: DiskMember, name: str, body: bytes) -> CopyState:
         headers = [('Host', disk.address)]
         raw = make_request('PUT', INTAKE_PATH + name, headers, body)
-        called = self.pool.call(disk.address, raw, KEEP_SECONDS)
-        if called == Err(CallFailure.not_sent):
-            return Copy.not_kept
-        if isinstance(called, Err):
-            return Copy.unsure
-        if called.ok_value.status == HTTPStatus.SERVICE_UNAVAILABLE:
-            # A disk that is full, or leaving, says that it has nothing.
-            return Copy.not_kept
-        return Copy.confirmed if called.ok_value.is_good else Copy.unsure
+        replied = self.pool.call(disk.address, raw, DISK_TIMEOUT_SECONDS)
+        if replied == Err(CallFailure.not_sent):
+            return CopyState.not_kept
+        if isinstance(replied, Err):
+            return CopyState.unsure
+        if replied.ok_value.status == HTTPStatus.SERVICE_UNAVAILABLE:
+            # The answer of a disk that is full or shutting down; it has no
+            # copy.
+            return CopyState.not_kept
+        return (
+            CopyState.confirmed
+            if replied.ok_value.is_good
+            else CopyState.unsure
+        )
 
     def _step(self) -> None:
         age = time.monotonic() - self.read_at
-        if age > BOARD_SECONDS or len(self.board.disks) < self.copies_needed:
+        if (
+            age > BOARD_REFRESH_SECONDS
+            or len(self.board.disks) < self.copies_needed
+        ):
             read = self.ledger.read_board(may_be_old=True)
             if isinstance(read, Ok):
-                self.note_board(read.ok_value)
-        self.wait(BOARD_STEP_SECONDS)
+                self.record_board(read.ok_value)
+        self.wait(BOARD_CHECK_SECONDS)
--- a/src/wigeonpier/hosted/intake.py
+++ b/src/wigeonpier/hosted/intake.py
@@ -1,8 +1,8 @@
-"""Jobs that were accepted while the store was away, kept on disks.
+"""Keeps jobs on a disk that were accepted during a store outage.
 
-Each process with a disk keeps what it is given and hands it to the store as
-soon as the store takes it.  All of them may do so: a job is created if
-absent, so that one of them succeeds and the others find it standing.
+Each process with a disk writes its jobs to the store as soon as the store
+accepts them.  Several may hold the same job: it is created only if absent, so
+one of them succeeds and the others find it there.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
     from wigeonpier.hosted.ledger import JobLedger
 
 INTAKE_PATH = '/intake/'
-FOLDER = 'intake'
-MOST_BYTES = 8_000_000
-# Several disks hold the same job; they hand it over at different times.
-SPREAD_SECONDS = 0.25
-PAUSE_SECONDS = 0.3
+FOLDER_NAME = 'intake'
+MAX_JOB_BYTES = 8_000_000
+# Several disks hold the same job; the jitter spreads their writes.
+MAX_JITTER_SECONDS = 0.25
+RETRY_PAUSE_SECONDS = 0.3
 
 
 class Intake:
@@ -49,54 +49,54 @@
         self,
         folder: str,
         ledger: JobLedger,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Open the folder; what lies there is handed over once started."""
+        """Open the folder; jobs found there are written once started."""
         self.is_closed = False
-        self._root = Path(folder) / FOLDER
+        self._root = Path(folder) / FOLDER_NAME
         self._root.mkdir(parents=True, exist_ok=True)
         self._ledger = ledger
-        self._draw = draw
+        self._rng = rng
         self._held = {path.name for path in self._root.iterdir()}
-        self._wanted = Signal()
-        self._wanted.set()
+        self._has_work = Signal()
+        self._has_work.set()
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether the store has everything."""
+        """Check whether all jobs have been written to the store."""
         return not self._held
 
     def start(self) -> None:
-        """Begin to hand jobs over."""
+        """Start writing jobs to the store."""
         spawn_loop('intake', self._step)
 
     def make_routes(self) -> list[Route]:
-        """List the paths for entries.
+        """List the routes that entries call.
 
         :returns: the routes.
         """
-        return [make_route('PUT', f'{INTAKE_PATH}([^/]+)', self._keep)]
+        return [make_route('PUT', f'{INTAKE_PATH}([^/]+)', self._store_job)]
 
-    def _keep(self, request: Request, name: str) -> Response:
+    def _store_job(self, request: Request, name: str) -> Response:
         if self.is_closed:
             raise Refusal(ErrorKind.leaving, 'this disk is being emptied')
-        request.body_limit = MOST_BYTES
+        request.body_limit = MAX_JOB_BYTES
         raw = request.read_body()
         try:
             call_in_thread(write_whole, self._root / name, raw)
         except OSError as error:
-            self._refuse(name, error)
+            self._raise_write_error(name, error)
         self._held.add(name)
-        self._wanted.set()
+        self._has_work.set()
         log_event(Event.job_held, job=name, size=len(raw))
         return Response(HTTPStatus.OK, b'{}')
 
-    def _refuse(self, name: str, error: OSError) -> NoReturn:
-        """Say that a full or faulty disk does not have a job.
+    def _raise_write_error(self, name: str, error: OSError) -> NoReturn:
+        """Report that a full or faulty disk does not have a job.
 
-        Where that is not certain the error itself goes up, which promises
-        nothing: an earlier copy may lie there, or this one without its name
-        being forced.
+        The original error is raised instead if an earlier copy may exist, or
+        this one was renamed but its directory entry was not synced: it does
+        not promise that there is no copy.
         """
         log_event(Event.job_unheld, job=name, why=str(error))
         if name in self._held or (self._root / name).exists():
@@ -104,23 +104,23 @@
         raise Refusal(ErrorKind.storage_down, str(error)) from error
 
     def _step(self) -> None:
-        self._wanted.wait()
-        gevent.sleep(self._draw.uniform(0, SPREAD_SECONDS))
+        self._has_work.wait()
+        gevent.sleep(self._rng.uniform(0, MAX_JITTER_SECONDS))
         for name in sorted(self._held):
-            if not self._hand_over(name):
-                gevent.sleep(PAUSE_SECONDS)
+            if not self._write_to_store(name):
+                gevent.sleep(RETRY_PAUSE_SECONDS)
                 return
         if not self._held:
-            self._wanted.clear()
+            self._has_work.clear()
 
-    def _hand_over(self, name: str) -> bool:
+    def _write_to_store(self, name: str) -> bool:
         path = self._root / name
         try:
             held = msgspec.json.decode(path.read_bytes(), type=HeldJob)
         except (OSError, msgspec.DecodeError) as error:
-            # A write that was torn by a power loss was never confirmed.
+            # A write interrupted by a power loss was never confirmed.
             log_event(Event.job_unreadable, job=name, why=str(error))
-            self._forget(path)
+            self._remove_copy(path)
             return True
         read = self._ledger.read_board()
         if isinstance(read, Err):
@@ -137,16 +137,16 @@
             replace(held.job, owners=owners),
             list(held.items),
         )
-        stands = isinstance(created, Ok) or created == Err(Failure.conflict)
-        if stands:
+        is_stored = isinstance(created, Ok) or created == Err(Failure.conflict)
+        if is_stored:
             log_event(
                 Event.job_handed_over,
                 job=name,
                 first=isinstance(created, Ok),
             )
-            self._forget(path)
-        return stands
+            self._remove_copy(path)
+        return is_stored
 
-    def _forget(self, path: Path) -> None:
+    def _remove_copy(self, path: Path) -> None:
         path.unlink(missing_ok=True)
         self._held.discard(path.name)
--- a/src/wigeonpier/hosted/jobs.py
+++ b/src/wigeonpier/hosted/jobs.py
@@ -1,4 +1,4 @@
-"""The calls of batch jobs at an entry: hand in, read, fetch a body, end."""
+"""Handles the batch job calls of an entry: submit, read, fetch body, cancel."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from result import Ok
 
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.hosted.acceptance import HandedJob
+from wigeonpier.hosted.acceptance import SubmittedJob
 from wigeonpier.hosted.views import refuse_unread
 from wigeonpier.platform import ingress, jobbodies
 from wigeonpier.policy.ownership import scope_job
@@ -29,14 +29,14 @@
     from wigeonpier.telemetry.metrics import Metrics
     from wigeonpier.web.messages import Request
 
-END_SECONDS = 3.4
-PAUSE_SECONDS = 0.15
-OCTETS = 'application/octet-stream'
-EMPTY = b'{}'
+CLOSE_TIMEOUT_SECONDS = 3.4
+RETRY_PAUSE_SECONDS = 0.15
+OCTET_STREAM_TYPE = 'application/octet-stream'
+EMPTY_BODY = b'{}'
 
 
 class JobHandler:
-    """Answers the calls of batch jobs."""
+    """Handles the calls of batch jobs."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         reader: JobReader,
         metrics: Metrics,
     ) -> None:
-        """Answer by the reader or the views, and accept by the acceptor."""
+        """Accept jobs by the acceptor, read results by reader or views."""
         self._ledger = ledger
         self._views = views
         self._acceptor = acceptor
@@ -54,38 +54,38 @@
         self._metrics = metrics
 
     def hand_in(self, arrival: Arrival) -> Response:
-        """Accept a job, once however often it is sent.
+        """Accept a job; repeated submissions are accepted only once.
 
-        :param arrival: the caller's, with its route.
-        :returns: 202 once the job is kept.
+        :param arrival: the caller's request with its route.
+        :returns: 202 once the job is stored.
         """
-        began = time.monotonic()
-        job = _read_job(arrival)
+        started_at = time.monotonic()
+        job = _parse_job(arrival)
         try:
-            place = self._acceptor.accept(job)
+            outcome = self._acceptor.accept(job)
         except Refusal as refusal:
             self._metrics.count('jobs_total', outcome=refusal.kind.value)
             raise
-        self._metrics.count('jobs_total', outcome=place.value)
+        self._metrics.count('jobs_total', outcome=outcome.value)
         log_event(
             Event.job_accepted,
             job=job.name,
             route=arrival.route.name,
             items=len(job.items),
             tokens=job.tokens,
-            place=place.value,
-            seconds=round(time.monotonic() - began, 3),
+            place=outcome.value,
+            seconds=round(time.monotonic() - started_at, 3),
         )
-        return Response(HTTPStatus.ACCEPTED, EMPTY)
+        return Response(HTTPStatus.ACCEPTED, EMPTY_BODY)
 
     def read(self, request: Request, name: str) -> Response:
-        """Read results from a position on.
+        """Read the results of a job from a position on.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :param name: id of the job.
         :returns: a page of results.
         """
-        after = _read_after(request.query)
+        after = _parse_after(request.query)
         job = scope_job(request.customer, name)
         page = self._read_page(job, after, ingress.read_wait(request))
         body = jobbodies.encode_results(
@@ -96,54 +96,54 @@
         return Response(HTTPStatus.OK, body, JSON_TYPE)
 
     def fetch_body(self, request: Request, name: str) -> Response:
-        """Give the body of an item.
+        """Return the body of an item.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :param name: id of the job.
-        :returns: its bytes.
+        :returns: the bytes of the body.
         """
-        wanted = _read_query(request.query).get('id', '')
+        item_name = _parse_query(request.query).get('id', '')
         job = scope_job(request.customer, name)
-        body = self._views.find_body(job, wanted)
+        body = self._views.find_body(job, item_name)
         if body is None:
             raise Refusal(
                 ErrorKind.not_found,
-                f'the job has no item {wanted!r}',
+                f'the job has no item {item_name!r}',
             )
-        return Response(HTTPStatus.OK, body, OCTETS)
+        return Response(HTTPStatus.OK, body, OCTET_STREAM_TYPE)
 
     def end(self, request: Request, name: str) -> Response:
-        """End a job; what is listed stays listed.
+        """Cancel a job; results listed so far stay readable.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :param name: id of the job.
-        :returns: 200 once no process may start an item of it any more.
+        :returns: 200 once no process may start an item of the job any more.
         """
         job = scope_job(request.customer, name)
         view = self._views.find(job)
-        give_up = time.monotonic() + END_SECONDS
+        deadline = time.monotonic() + CLOSE_TIMEOUT_SECONDS
         while not view.is_closed:
             if isinstance(self._ledger.close(job), Ok):
                 view.is_closed = True
                 log_event(Event.job_ended, job=job, listed=len(view.results))
-            elif time.monotonic() > give_up:
+            elif time.monotonic() > deadline:
                 raise refuse_unread()
             else:
-                gevent.sleep(PAUSE_SECONDS)
-        return Response(HTTPStatus.OK, EMPTY)
+                gevent.sleep(RETRY_PAUSE_SECONDS)
+        return Response(HTTPStatus.OK, EMPTY_BODY)
 
     def _read_page(self, name: str, after: int, wait: float) -> ResultPage:
         if not self._views.has_results(name, after):
             read = self._reader.read(name, after, wait)
             if read is not None:
                 return read
-        # The store is read where the reader is not certain.
+        # The reader has no current answer; read the store.
         view = self._views.find(name)
         self._views.look(view, after, wait)
         return view.cut_page(after)
 
 
-def _read_job(arrival: Arrival) -> HandedJob:
+def _parse_job(arrival: Arrival) -> SubmittedJob:
     name = arrival.head.identity
     if not name or '/' in name:
         raise Refusal(ErrorKind.invalid_request, f'{name!r} is no id of a job')
@@ -152,7 +152,7 @@
     except (ValueError, msgspec.DecodeError) as error:
         raise Refusal(ErrorKind.invalid_request, str(error)) from error
     customer = arrival.request.customer
-    return HandedJob(
+    return SubmittedJob(
         scope_job(customer, name),
         arrival.head.host,
         arrival.route,
@@ -162,13 +162,13 @@
     )
 
 
-def _read_query(query: str) -> dict[str, str]:
+def _parse_query(query: str) -> dict[str, str]:
     pairs = [pair.partition('=') for pair in query.split('&') if pair]
-    return {name: text for name, _equals, text in pairs}
+    return {name: value for name, _equals, value in pairs}
 
 
-def _read_after(query: str) -> int:
-    text = _read_query(query).get('after', '0')
-    if not text.isdigit():
+def _parse_after(query: str) -> int:
+    value = _parse_query(query).get('after', '0')
+    if not value.isdigit():
         raise Refusal(ErrorKind.invalid_request, 'after is no number')
-    return int(text)
+    return int(value)
