--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -1,8 +1,8 @@
-"""Hands the items of processes that are gone to others.
+"""Reassigns the items of lost processes.
 
-It runs beside the disks, one in each data centre.  All of them may act at
-the same time: each move names the revision that it replaces, so that one of
-them succeeds.
+One instance runs in each data centre, in the process with a disk.  They may
+act at the same time: each write is conditional on the revision that it
+replaces, so that only one of them succeeds.
 """
 
 from __future__ import annotations
@@ -28,75 +28,77 @@
     from wigeonpier.platform.port import Change
     from wigeonpier.platform.view import ViewFactory
 
-# A member whose lease lapsed while the store was away joins again within
-# this time; so does one that was restarted at once.
+# A member whose lease expired during a store outage, or that was restarted
+# immediately, rejoins within this time.
 RETURN_SECONDS = 1.6
-# Dealers act at different times, so that one of them does the work.
-SPREAD_SECONDS = 0.5
-# Items that nobody could be found for, or whose move failed, are looked for
-# again this often.
+# Spreads the attempts of several instances so that one of them does the work.
+MAX_JITTER_SECONDS = 0.5
+# Interval for retrying items that had no new owner or could not be moved.
 SWEEP_SECONDS = 4.0
-# Calls to the store are priced: a sweep is made only while jobs are open.
+# Calls to the store are billed; a scan is needed only while jobs are open.
 RETRY_SECONDS = 0.4
 
 
 class Dealer:
-    """Watches who runs items, and moves the items of those who are gone."""
+    """Watches the members and reassigns the items of lost ones."""
 
     def __init__(
         self,
         ledger: JobLedger,
         make_view: ViewFactory,
         contact: StoreContact,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Follow the members once started."""
+        """Watch the members once started."""
         self._ledger = ledger
         self._contact = contact
-        self._draw = draw
-        self._gone: set[str] = set()
+        self._rng = rng
+        self._pending: set[str] = set()
         self._view = make_view(places.MEMBERS, self._apply)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start watching."""
         self._view.start()
         spawn_loop('sweep', self._sweep)
 
     def _apply(self, change: Change) -> None:
         name = change.key.removeprefix(places.MEMBERS)
         if change.value is not None:
-            if NOBODY not in self._gone:
-                self._gone.add(NOBODY)
-                gevent.spawn_later(RETURN_SECONDS, self._move_all, NOBODY)
+            if NOBODY not in self._pending:
+                self._pending.add(NOBODY)
+                gevent.spawn_later(RETURN_SECONDS, self._reassign_items, NOBODY)
             return
-        if name not in self._gone:
-            self._gone.add(name)
-            spread = self._draw.uniform(0, SPREAD_SECONDS)
-            gevent.spawn_later(RETURN_SECONDS + spread, self._move_all, name)
+        if name not in self._pending:
+            self._pending.add(name)
+            jitter = self._rng.uniform(0, MAX_JITTER_SECONDS)
+            gevent.spawn_later(
+                RETURN_SECONDS + jitter, self._reassign_items, name
+            )
 
     def _sweep(self) -> None:
-        """Find items whose owner is gone though no change was seen."""
-        gevent.sleep(SWEEP_SECONDS * self._draw.uniform(1, 2))
+        """Find items of lost owners whose removal was not seen."""
+        gevent.sleep(SWEEP_SECONDS * self._rng.uniform(1, 2))
         if not self._view.is_complete or self._contact.is_lost:
             return
-        # Whoever seems to be gone is looked for again before items move.
+        # A stale read is enough here: membership is checked again before any
+        # item is reassigned.
         read = self._ledger.read_board(may_be_old=True)
         if isinstance(read, Err):
             return
         owners = {
             owner for job in read.ok_value.jobs.values() for owner in job.owners
         }
-        for owner in owners - set(read.ok_value.members) - self._gone:
-            self._gone.add(owner)
-            gevent.spawn_later(RETURN_SECONDS, self._move_all, owner)
+        for owner in owners - set(read.ok_value.members) - self._pending:
+            self._pending.add(owner)
+            gevent.spawn_later(RETURN_SECONDS, self._reassign_items, owner)
 
-    def _move_all(self, lost: str) -> None:
-        while not self._try_move_all(lost):
+    def _reassign_items(self, lost: str) -> None:
+        while not self._try_reassign_items(lost):
             gevent.sleep(RETRY_SECONDS)
-        self._gone.discard(lost)
+        self._pending.discard(lost)
 
-    def _try_move_all(self, lost: str) -> bool:
-        """Move what a lost process has; false where it must be tried again."""
+    def _try_reassign_items(self, lost: str) -> bool:
+        """Reassign the items of a lost process; return false to retry."""
         if places.name_key(places.MEMBERS, lost) in self._view.entries:
             return True
         read = self._ledger.read_board()
@@ -106,13 +108,13 @@
         if lost in board.members:
             return True
         outcomes = [
-            self._move(board, name, lost)
+            self._reassign_job(board, name, lost)
             for name, job in list(board.jobs.items())
             if lost in job.owners
         ]
         return all(outcomes)
 
-    def _move(self, board: Board, name: str, lost: str) -> bool:
+    def _reassign_job(self, board: Board, name: str, lost: str) -> bool:
         job = board.jobs[name]
         members = board.list_members(job.service)
         if not [member for member in members if member.name != lost]:
@@ -124,12 +126,14 @@
             list(board.jobs.values()),
             time.time(),
         )
-        moved = self._ledger.move(job, board.revisions[name], lost, owners)
-        if isinstance(moved, Ok):
+        reassigned = self._ledger.reassign(
+            job, board.revisions[name], lost, owners
+        )
+        if isinstance(reassigned, Ok):
             log_event(
                 Event.items_moved,
                 job=name,
                 lost=lost,
                 owners=sorted(set(owners) - set(job.owners)),
             )
-        return isinstance(moved, Ok)
+        return isinstance(reassigned, Ok)
--- a/src/wigeonpier/hosted/janitor.py
+++ b/src/wigeonpier/hosted/janitor.py
@@ -1,4 +1,4 @@
-"""Removes jobs that need not be readable any more from the store."""
+"""Removes jobs from the store after the time they must stay readable."""
 
 from __future__ import annotations
 
@@ -17,43 +17,45 @@
 
     from wigeonpier.hosted.ledger import JobLedger
 
-# One call a minute and process with a disk.
+# One call per minute and process with a disk.
 SWEEP_SECONDS = 60.0
-# A job may have come late to the store.
-KEEP_FACTOR = 3.0
+# A job may reach the store late.
+RETENTION_FACTOR = 3.0
 
 
 class Janitor:
-    """Looks for old jobs now and then."""
+    """Removes old jobs periodically."""
 
     def __init__(
         self,
         ledger: JobLedger,
         readable_seconds: float,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Remove jobs that were readable for long enough."""
+        """Remove jobs after a multiple of the readable time, in seconds."""
         self._ledger = ledger
-        self._keep_seconds = readable_seconds * KEEP_FACTOR
-        self._draw = draw
-        # When each job was first seen, seconds of the steady clock.  A VM whose
-        # time of day is ahead would remove jobs that are open.
-        self._seen: dict[str, float] = {}
+        self._keep_seconds = readable_seconds * RETENTION_FACTOR
+        self._rng = rng
+        # When each job was first seen, seconds of the monotonic clock.  With
+        # the wall clock, a VM whose clock is ahead would remove open jobs.
+        self._first_seen: dict[str, float] = {}
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the periodic scans."""
         spawn_loop('janitor', self._step)
 
     def sweep(self, now: float) -> None:
-        """Remove what is too old.
+        """Remove the jobs that are too old.
 
-        :param now: seconds of the steady clock.
+        :param now: seconds of the monotonic clock.
         """
-        read = self._ledger.read_ages()
+        read = self._ledger.read_accept_times()
         if isinstance(read, Err):
             return
-        self._seen = {job: self._seen.get(job, now) for job in read.ok_value}
-        for job, seen_at in self._seen.items():
+        self._first_seen = {
+            job: self._first_seen.get(job, now) for job in read.ok_value
+        }
+        for job, seen_at in self._first_seen.items():
             if now - seen_at > self._keep_seconds:
                 removed = self._ledger.remove(job)
                 log_event(
@@ -64,5 +66,5 @@
                 )
 
     def _step(self) -> None:
-        gevent.sleep(SWEEP_SECONDS * self._draw.uniform(1, 2))
+        gevent.sleep(SWEEP_SECONDS * self._rng.uniform(1, 2))
         self.sweep(time.monotonic())
--- a/src/wigeonpier/hosted/ledger.py
+++ b/src/wigeonpier/hosted/ledger.py
@@ -1,9 +1,9 @@
-"""Batch jobs in the store: handed in once, results at fixed positions.
+"""Reads and writes batch jobs in the key-value store.
 
-A job is a head and items that never change, a key on the board while items
-are left, and one key a result.  A result is created if absent, so that it is
-written once however often its item ran; its position follows from the
-revision of its creation, which every reader sees alike.
+A job consists of a head and items, which never change, a key on the board
+while items are left, and one key per result.  A result is created only if
+absent, so it is written once even if its item ran repeatedly.  Its position
+follows from the revision of its creation, which is the same for all readers.
 """
 
 from __future__ import annotations
@@ -32,16 +32,18 @@
     from wigeonpier.platform.port import Snapshot
     from wigeonpier.platform.store import KeyValueStore
 
-# Items are kept as base64 in a value; a part stays well below the limit.
-PART_BYTES = 500_000
-# Larger items are read from the record by whoever runs them.
-LARGEST_ASSIGNMENT = 100_000
-# Entries that one transaction takes.
-MOST_KEYS = 32
+# Items are stored as base64; a part stays well below the size limit of a
+# value.
+MAX_PART_BYTES = 500_000
+# Items of larger assignments are read from the job by the process that runs
+# them.
+MAX_ASSIGNMENT_BYTES = 100_000
+# Limit of one transaction.
+MAX_KEYS_PER_COMMIT = 32
 
 
 class JobHead(msgspec.Struct):
-    """What is known of a job as long as it is readable.
+    """Description of a job, stored as long as the job is readable.
 
     :param job: the job as it was accepted.
     :param names: ids of the items by position.
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedResult:
-    """A result and what its position follows from.
+    """A result with the data that determines its position.
 
     :param created: revision of its creation.
     :param index: position of its item in the job.
@@ -67,11 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredJob:
-    """A job as it was read.
+    """A job as read from the store.
 
     :param head: its head.
     :param results: results in order of their positions.
-    :param revision: revision from which to go on.
+    :param revision: revision after which newer results can be read.
     """
 
     head: JobHead
@@ -83,25 +85,25 @@
     """Reads and writes jobs."""
 
     def __init__(self, store: KeyValueStore) -> None:
-        """Keep jobs in the store."""
+        """Read and write jobs in the given store."""
         self.store = store
 
     def read_board(
         self,
-        patience: float = CALL_SECONDS,
+        timeout: float = CALL_SECONDS,
         *,
         may_be_old: bool = False,
     ) -> Result[Board, Failure]:
         """Read the whole board.
 
-        :param patience: longest silence, seconds.
-        :param may_be_old: whether it may be seconds old, for who reads it
-            again before acting on it.
-        :returns: jobs with items left and who runs items.
+        :param timeout: longest wait for the store, seconds.
+        :param may_be_old: whether a board that is seconds old is accepted, for
+            callers that read it again before they act on it.
+        :returns: open jobs, members and disks.
         """
         listed = self.store.list_prefix(
             places.BOARD,
-            patience,
+            timeout,
             may_be_old=may_be_old,
         )
         if isinstance(listed, Err):
@@ -115,21 +117,21 @@
         self,
         job: OpenJob,
         items: list[JobItem],
-        patience: float = CALL_SECONDS,
+        timeout: float = CALL_SECONDS,
     ) -> Result[int, Failure]:
-        """Write a new job, whole or not at all, and hand its items out.
+        """Write a new job and assign its items, in one transaction.
 
-        :param job: what the board shows.
+        :param job: the job as shown on the board.
         :param items: all items.
-        :param patience: longest silence, seconds.
-        :returns: the revision; ``conflict`` where the job stands already.
+        :param timeout: longest wait for the store, seconds.
+        :returns: the revision; ``conflict`` if the job exists already.
         """
         parts = list(_split_items(items))
         job = replace(job, parts=len(parts))
         head = JobHead(job, [item.name for item in items])
-        first = _name_head(job.name)
+        head_key = _make_head_key(job.name)
         writes = {
-            first: msgspec.json.encode(head),
+            head_key: msgspec.json.encode(head),
             places.name_key(places.OPEN_JOBS, job.name): msgspec.json.encode(
                 job
             ),
@@ -142,39 +144,41 @@
             writes[key] = msgspec.json.encode(part)
         for owner in set(job.owners):
             key = places.name_key(places.ASSIGNMENTS, owner, job.name)
-            assignment = _assign(job, owner, items)
+            assignment = _make_assignment(job, owner, items)
             writes[key] = msgspec.json.encode(assignment)
-        return self.store.commit(Commit({first: 0}, writes), patience)
+        return self.store.commit(Commit({head_key: 0}, writes), timeout)
 
-    def move(
+    def reassign(
         self,
         job: OpenJob,
         revision: int,
         lost: str,
         owners: tuple[str, ...],
     ) -> Result[int, Failure]:
-        """Hand the items of a lost process to others.
+        """Reassign the items of a lost process.
 
-        :param job: the job as the board shows it.
+        :param job: the job as shown on the board.
         :param revision: revision of its key on the board.
         :param lost: name of the lost process's VM.
         :param owners: new owners of all items.
-        :returns: the revision; ``conflict`` where somebody was faster.
+        :returns: the revision; ``conflict`` if the job was changed meanwhile.
         """
-        moved = replace(job, owners=owners)
+        reassigned = replace(job, owners=owners)
         key = places.name_key(places.OPEN_JOBS, job.name)
-        writes = {key: msgspec.json.encode(moved)}
+        writes = {key: msgspec.json.encode(reassigned)}
         for owner in set(owners) - {lost}:
             name = places.name_key(places.ASSIGNMENTS, owner, job.name)
-            assignment = replace(_assign(moved, owner, []), is_moved=True)
+            assignment = replace(
+                _make_assignment(reassigned, owner, []), is_moved=True
+            )
             writes[name] = msgspec.json.encode(assignment)
         deletes = (places.name_key(places.ASSIGNMENTS, lost, job.name),)
         return self.store.commit(Commit({key: revision}, writes, deletes))
 
-    def read_ages(self) -> Result[dict[str, float], Failure]:
+    def read_accept_times(self) -> Result[dict[str, float], Failure]:
         """Read when each job was accepted.
 
-        :returns: seconds of the day's clock by id of the job.
+        :returns: seconds of the wall clock by id of the job.
         """
         return self.store.list_prefix(places.AGES).map(
             lambda snapshot: {
@@ -187,30 +191,33 @@
         )
 
     def remove(self, job: str) -> Result[int, Failure]:
-        """Remove everything of a job, its age last.
+        """Remove all keys of a job.
+
+        The key with its acceptance time is removed last, so that a removal
+        that failed is found and retried.
 
         :param job: id of the job.
-        :returns: the revision; after a failure it can be tried again.
+        :returns: the revision.
         """
         closed = self.close(job)
         if isinstance(closed, Err):
             return closed
-        gone = [_name_head(job)]
+        keys = [_make_head_key(job)]
         for space in (places.ITEMS, places.RESULTS, places.PROGRESS):
             listed = self.store.list_prefix(places.name_prefix(space, job))
             if isinstance(listed, Err):
                 return listed
-            gone += [entry.key for entry in listed.ok_value.entries]
-        gone.append(places.name_key(places.AGES, job))
-        return self._delete(gone)
+            keys += [entry.key for entry in listed.ok_value.entries]
+        keys.append(places.name_key(places.AGES, job))
+        return self._delete(keys)
 
     def read_head(self, job: str) -> Result[JobHead | None, Failure]:
         """Read the head of a job.
 
         :param job: id of the job.
-        :returns: the head, ``None`` where there is no such job.
+        :returns: the head, ``None`` if there is no such job.
         """
-        return self.store.get(_name_head(job)).map(_decode_head)
+        return self.store.get(_make_head_key(job)).map(_decode_head)
 
     def read_items(self, job: OpenJob) -> Result[list[JobItem], Failure]:
         """Read all items of a job.
@@ -221,7 +228,7 @@
         items: list[JobItem] = []
         for number in range(job.parts):
             key = places.name_key(places.ITEMS, job.name, number)
-            read = self._read_lasting(key)
+            read = self._read_immutable(key)
             if isinstance(read, Err):
                 return read
             if read.ok_value is None:
@@ -233,12 +240,14 @@
         return Ok(items)
 
     def list_items(self, job: str) -> Result[list[JobItem], Failure]:
-        """Read all items of a job that may have been written just now.
+        """Read all items of a job, possibly from a stale replica.
 
-        Its parts were written together and never change.
+        The parts are written together and never change, so a stale read has
+        either all items or none.
 
         :param job: id of the job.
-        :returns: the items by position, none where an old read has none.
+        :returns: the items by position; empty if the job was written after
+            the state that a stale read shows.
         """
         listed = self.store.list_prefix(
             places.name_prefix(places.ITEMS, job),
@@ -247,10 +256,10 @@
         return listed.map(_join_parts)
 
     def close(self, job: str) -> Result[int, Failure]:
-        """Take a job off the board, and its items from who runs them.
+        """Remove a job from the board and delete its assignments.
 
         :param job: id of the job.
-        :returns: the revision, 0 where it was closed before.
+        :returns: the revision, 0 if it was closed before.
         """
         key = places.name_key(places.OPEN_JOBS, job)
         while True:
@@ -271,7 +280,7 @@
                     deletes=(key, *assignments),
                 ),
             )
-            # A conflict says that items moved meanwhile.
+            # A conflict means that items were reassigned meanwhile.
             if closed != Err(Failure.conflict):
                 return closed
 
@@ -279,7 +288,7 @@
         self,
         progress: dict[tuple[str, int], ItemProgress],
     ) -> Result[int, Failure]:
-        """Keep how far unfinished items are.
+        """Write the progress of unfinished items.
 
         :param progress: by job and position of the item.
         :returns: the revision.
@@ -294,7 +303,7 @@
         self,
         job: str,
     ) -> Result[dict[int, ItemProgress], Failure]:
-        """Read how far the unfinished items of a job are.
+        """Read the progress of the unfinished items of a job.
 
         :param job: id of the job.
         :returns: progress by position of the item.
@@ -316,10 +325,10 @@
         self,
         results: dict[tuple[str, int], ItemResult],
     ) -> Result[int, Failure]:
-        """Write results if none of them stands.
+        """Write results if none of them exists.
 
         :param results: by job and position of the item.
-        :returns: the revision; ``conflict`` where one of them stands.
+        :returns: the revision; ``conflict`` if one of them exists.
         """
         writes = {
             places.name_key(places.RESULTS, *key): msgspec.json.encode(found)
@@ -332,7 +341,7 @@
         """Read the head and all results of a job.
 
         :param job: id of the job.
-        :returns: the job, ``None`` where there is no such job.
+        :returns: the job, ``None`` if there is no such job.
         """
         listed = self.store.list_prefix(places.name_prefix(places.RESULTS, job))
         if isinstance(listed, Err):
@@ -343,15 +352,16 @@
         ]
         if not heads:
             return Ok(None)
-        # Later pages may hold results newer than the first page; taking
-        # them would show a position before an older result has taken it.
+        # Later pages may hold results newer than the first page.  Including
+        # them could list one before an older result that an earlier page
+        # missed, and positions would change.
         entries = [
             entry
             for entry in snapshot.entries
             if entry.created <= snapshot.revision
         ]
         head = msgspec.json.decode(heads[0].value, type=JobHead)
-        return Ok(StoredJob(head, _place(entries), snapshot.revision))
+        return Ok(StoredJob(head, _decode_results(entries), snapshot.revision))
 
     def await_results(
         self,
@@ -364,32 +374,33 @@
         :param job: id of the job.
         :param revision: revision that was seen last.
         :param seconds: longest wait.
-        :returns: new results in order, and the revision to go on from.
+        :returns: new results in order, and the revision for the next call.
         """
-        heard = self.store.await_changes(
+        received = self.store.await_changes(
             places.name_prefix(places.RESULTS, job),
             revision,
             seconds,
         )
-        if isinstance(heard, Err):
-            return heard
-        changes, following = heard.ok_value
-        return Ok((_place(changes), following))
+        if isinstance(received, Err):
+            return received
+        changes, next_revision = received.ok_value
+        return Ok((_decode_results(changes), next_revision))
 
-    def _read_lasting(self, key: str) -> Result[Entry | None, Failure]:
-        """Read what never changes: what is there may be told by an old read.
+    def _read_immutable(self, key: str) -> Result[Entry | None, Failure]:
+        """Read an immutable key, from a stale replica where that has it.
 
-        Bodies that callers fetch were 37 of the 1,137 calls of a quiet day.
+        Bodies that callers fetch were 37 of the 1,137 calls of a day with
+        little load.
         """
         read = self.store.get(key, may_be_old=True)
         if isinstance(read, Ok) and read.ok_value is not None:
             return read
         return self.store.get(key)
 
-    def _delete(self, gone: list[str]) -> Result[int, Failure]:
+    def _delete(self, keys: list[str]) -> Result[int, Failure]:
         outcome: Result[int, Failure] = Ok(0)
-        for start in range(0, len(gone), MOST_KEYS):
-            deletes = tuple(gone[start : start + MOST_KEYS])
+        for start in range(0, len(keys), MAX_KEYS_PER_COMMIT):
+            deletes = tuple(keys[start : start + MAX_KEYS_PER_COMMIT])
             outcome = self.store.commit(Commit(deletes=deletes))
             if isinstance(outcome, Err):
                 return outcome
@@ -397,7 +408,7 @@
 
 
 def decode_assignment(value: bytes) -> Assignment:
-    """Read an assignment.
+    """Decode an assignment.
 
     :param value: value of its key.
     :returns: the assignment.
@@ -405,18 +416,20 @@
     return msgspec.json.decode(value, type=Assignment)
 
 
-def _name_head(job: str) -> str:
+def _make_head_key(job: str) -> str:
     return places.name_key(places.RESULTS, job, places.HEAD)
 
 
-def _assign(job: OpenJob, owner: str, items: list[JobItem]) -> Assignment:
+def _make_assignment(
+    job: OpenJob, owner: str, items: list[JobItem]
+) -> Assignment:
     indexes = tuple(
         index for index, name in enumerate(job.owners) if name == owner
     )
-    own = tuple(items[index] for index in indexes) if items else ()
-    if sum(len(item.body) for item in own) > LARGEST_ASSIGNMENT:
-        own = ()
-    return Assignment(job, indexes, own)
+    owned = tuple(items[index] for index in indexes) if items else ()
+    if sum(len(item.body) for item in owned) > MAX_ASSIGNMENT_BYTES:
+        owned = ()
+    return Assignment(job, indexes, owned)
 
 
 def _decode_head(entry: Entry | None) -> JobHead | None:
@@ -437,7 +450,7 @@
     ]
 
 
-def _place(entries: Iterable[Entry | Change]) -> list[PlacedResult]:
+def _decode_results(entries: Iterable[Entry | Change]) -> list[PlacedResult]:
     placed = [
         PlacedResult(
             entry.created,
@@ -454,7 +467,7 @@
     part: list[JobItem] = []
     size = 0
     for item in items:
-        if part and size + len(item.body) > PART_BYTES:
+        if part and size + len(item.body) > MAX_PART_BYTES:
             yield part
             part = []
             size = 0
