--- a/src/wigeonpier/hosted/assignments.py
+++ b/src/wigeonpier/hosted/assignments.py
@@ -1,4 +1,4 @@
-"""Follows what this process has to run, and reads what it needs for it."""
+"""Follows the items assigned to this process and reads what they need."""
 
 from __future__ import annotations
 
@@ -26,18 +26,19 @@
     from wigeonpier.platform.port import Change, Failure
     from wigeonpier.platform.view import ViewFactory
 
-READ_PAUSE_SECONDS = 0.3
-# The time of day differs between VMs; an item must not be given up too early.
+READ_RETRY_SECONDS = 0.3
+# Wall clocks differ between VMs; an item must not be abandoned too early.
 RETENTION_SLACK_SECONDS = 6.0
-# Each process tries an item for so long, however old its job seems to be.
-LEAST_TRY_SECONDS = 9.0
-NOTHING_YET = ItemProgress((), '', 0)
+# Each process attempts an item at least this long, even if the job seems older
+# than its retention.
+MIN_ATTEMPT_SECONDS = 9.0
+NO_PROGRESS = ItemProgress((), '', 0)
 
-Past = tuple[frozenset[int], dict[int, ItemProgress]]
+PriorState = tuple[frozenset[int], dict[int, ItemProgress]]
 
 
 class AssignmentFollower:
-    """Gives the runner the items that are assigned to this process."""
+    """Passes the items that are assigned to this process to the runner."""
 
     def __init__(
         self,
@@ -45,13 +46,22 @@
         ledger: JobLedger,
         runner: ItemRunner,
         make_view: ViewFactory,
-        read_refused: Callable[[], None],
+        refresh_quarantine: Callable[[], None],
         wait: Callable[[float], object] = gevent.sleep,
     ) -> None:
-        """Follow the assignments of a VM once started."""
+        """Follow the assignments of a VM once started.
+
+        :param vm: name of this process's VM.
+        :param ledger: jobs in the store.
+        :param runner: runs the items.
+        :param make_view: makes the view of the assignments.
+        :param refresh_quarantine: rereads the refused requests from the store.
+        :param wait: waits the given seconds before a failed read is repeated;
+            while the store is lost, until it answers again.
+        """
         self._wait = wait
         self._clock = JobClock(time.time(), time.monotonic())
-        self._read_refused = read_refused
+        self._refresh_quarantine = refresh_quarantine
         self._ledger = ledger
         self._runner = runner
         self._assigned: dict[str, Assignment] = {}
@@ -61,7 +71,7 @@
         )
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following the assignments."""
         self.view.start()
 
     def _apply(self, change: Change) -> None:
@@ -76,29 +86,34 @@
             log_event(Event.assignment_unreadable, job=name, why=str(error))
             return
         self._assigned[name] = assignment
-        # Only what is first seen here and now cannot have run before.
+        # Only items that are assigned for the first time, while this process
+        # watches, are known not to have run before.
         is_new = self.view.is_complete and not assignment.is_moved
         if is_new:
             sent_at = assignment.job.sent_at
             self._clock.note_arrival(sent_at, time.monotonic())
         if is_new and assignment.items:
-            self._take_up(assignment, list(assignment.items), (frozenset(), {}))
+            self._adopt_items(
+                assignment, list(assignment.items), (frozenset(), {})
+            )
         else:
-            gevent.spawn(self._load, assignment, is_new=is_new)
+            gevent.spawn(self._read_and_adopt, assignment, is_new=is_new)
 
-    def _load(self, assignment: Assignment, *, is_new: bool) -> None:
+    def _read_and_adopt(self, assignment: Assignment, *, is_new: bool) -> None:
         name = assignment.job.name
         while self._assigned.get(name) is assignment:
-            items = self._read_items(assignment)
-            past = self._read_past(name, is_new=is_new)
-            if isinstance(items, Ok) and isinstance(past, Ok):
-                # The job may have ended while it was read.
+            items = self._read_assigned_items(assignment)
+            prior = self._read_prior_state(name, is_new=is_new)
+            if isinstance(items, Ok) and isinstance(prior, Ok):
+                # The job may have ended during the read.
                 if self._assigned.get(name) is assignment:
-                    self._take_up(assignment, items.ok_value, past.ok_value)
+                    self._adopt_items(
+                        assignment, items.ok_value, prior.ok_value
+                    )
                 return
-            self._wait(READ_PAUSE_SECONDS)
+            self._wait(READ_RETRY_SECONDS)
 
-    def _read_items(
+    def _read_assigned_items(
         self,
         assignment: Assignment,
     ) -> Result[list[JobItem], Failure]:
@@ -108,12 +123,14 @@
             lambda items: [items[index] for index in assignment.indexes],
         )
 
-    def _read_past(self, job: str, *, is_new: bool) -> Result[Past, Failure]:
-        """Read which items are done, and how far the others are."""
+    def _read_prior_state(
+        self, job: str, *, is_new: bool
+    ) -> Result[PriorState, Failure]:
+        """Read which items are done and the progress of the others."""
         if is_new:
             return Ok((frozenset(), {}))
-        # Who ran them before may have found that one is not to be run.
-        self._read_refused()
+        # An item may have been refused because of its runs elsewhere.
+        self._refresh_quarantine()
         read = self._ledger.read_job(job)
         if isinstance(read, Err):
             return read
@@ -123,26 +140,26 @@
             lambda progress: (done, progress),
         )
 
-    def _take_up(
+    def _adopt_items(
         self,
         assignment: Assignment,
         items: list[JobItem],
-        past: Past,
+        prior: PriorState,
     ) -> None:
-        done, progress = past
+        done, progress = prior
         job = assignment.job
         age = self._clock.measure_age(job.sent_at, time.monotonic())
-        taken = []
+        adopted = []
         for index, item in zip(assignment.indexes, items, strict=True):
             if index in done:
                 continue
-            known = progress.get(index, NOTHING_YET)
-            if self._runner.add(_make_work(job, index, item, known, age)):
-                taken.append(item.name)
+            saved = progress.get(index, NO_PROGRESS)
+            if self._runner.add(_make_work(job, index, item, saved, age)):
+                adopted.append(item.name)
         log_event(
             Event.item_adopted,
             job=job.name,
-            items=taken,
+            items=adopted,
             done=len(done),
             resumed=len(progress),
             moved=assignment.is_moved,
@@ -154,19 +171,19 @@
     job: OpenJob,
     index: int,
     item: JobItem,
-    known: ItemProgress,
+    saved: ItemProgress,
     age: float,
 ) -> ItemWork:
     now = time.monotonic()
-    left = job.retention - age + RETENTION_SLACK_SECONDS
+    remaining = job.retention - age + RETENTION_SLACK_SECONDS
     return ItemWork(
         job,
         index,
         item,
         due_at=now + job.run_objective - age,
-        keep_until=now + max(left, LEAST_TRY_SECONDS),
-        texts=list(known.texts),
-        last_event=known.last_event,
-        failures=known.failures,
-        saved_events=len(known.texts),
+        attempt_until=now + max(remaining, MIN_ATTEMPT_SECONDS),
+        texts=list(saved.texts),
+        last_event=saved.last_event,
+        failures=saved.failures,
+        saved_events=len(saved.texts),
     )
--- a/src/wigeonpier/hosted/items.py
+++ b/src/wigeonpier/hosted/items.py
@@ -1,4 +1,4 @@
-"""Runs one batch item at the upstream, in as many parts as it takes."""
+"""Runs one batch item at the upstream, in as many runs as needed."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     from wigeonpier.web.exchange import Exchange
     from wigeonpier.web.pool import ConnectionPool
 
-# An item waits for a slot behind questions; a silent upstream is left, and
-# the item goes on from its last event.
-HEAD_SECONDS = 3.0
-SILENCE_SECONDS = 2.0
-CANNOT_BE_DONE = 422
+# An item waits for a slot behind online requests.  A run at an unresponsive
+# upstream is aborted, and the next run resumes after the last event.
+HEAD_TIMEOUT_SECONDS = 3.0
+READ_TIMEOUT_SECONDS = 2.0
+UNPROCESSABLE_STATUS = 422
 ITEM_METHOD = 'POST'
 
 
-class RunEnd(StrEnum):
+class RunOutcome(StrEnum):
     """How one run of an item ended."""
 
     whole = 'whole'
     paused = 'paused'
-    # The first three never reached a slot.
+    # These three never reached a slot.
     unreachable = 'unreachable'
     refused = 'refused'
     replaced = 'replaced'
@@ -41,7 +41,9 @@
     impossible = 'impossible'
 
 
-NOT_RUN = frozenset((RunEnd.unreachable, RunEnd.refused, RunEnd.replaced))
+NOT_RUN = frozenset(
+    (RunOutcome.unreachable, RunOutcome.refused, RunOutcome.replaced)
+)
 
 
 @dataclass(slots=True)
@@ -51,45 +53,45 @@
     :param job: its job.
     :param index: its position in the job.
     :param item: the request.
-    :param due_at: when it is due, seconds of the steady clock.
-    :param keep_until: until when it must be tried, likewise.
+    :param due_at: when it is due, seconds of the monotonic clock.
+    :param attempt_until: until when it must be attempted, likewise.
     :param texts: data of the events so far.
     :param last_event: id of the last of them.
-    :param failures: runs that the upstream failed.
-    :param retry_at: not started before then.
-    :param run_seconds: how long it ran so far.
-    :param saved_events: events of which the text is kept elsewhere too.
-    :param first_event: events that were there before the current run.
+    :param failures: runs that the upstream answered with an error.
+    :param retry_at: earliest start of the next run, likewise.
+    :param run_seconds: total duration of its runs so far.
+    :param saved_events: number of events whose text is saved in the store.
+    :param events_before_run: number of events before the current run.
     :param is_running: whether it is at the upstream.
-    :param is_paused: whether its run was told to give way.
-    :param is_dropped: whether it is no longer this process's.
-    :param company: what suspected requests it bears beside it, empty where it
-        is not suspected itself.
-    :param answer: the answer that is read now.
+    :param is_paused: whether its current run was told to stop.
+    :param is_dropped: whether it is no longer assigned to this process.
+    :param isolation: which other suspected requests may run beside it, empty
+        if it is not suspected itself.
+    :param response: response that is being read.
     """
 
     job: OpenJob
     index: int
     item: JobItem
     due_at: float
-    keep_until: float
+    attempt_until: float
     texts: list[str] = field(default_factory=list)
     last_event: str = ''
     failures: int = 0
     retry_at: float = 0
     run_seconds: float = 0
     saved_events: int = 0
-    first_event: int = 0
+    events_before_run: int = 0
     is_running: bool = False
     is_paused: bool = False
     is_dropped: bool = False
-    company: str = ''
-    answer: Exchange | None = None
+    isolation: str = ''
+    response: Exchange | None = None
     _fingerprint: str = ''
 
     @property
     def fingerprint(self) -> str:
-        """Name it by its content, as a question with the same one."""
+        """Return the digest of its content; equal online requests share it."""
         if not self._fingerprint:
             self._fingerprint = digest_request(
                 self.job.host,
@@ -102,84 +104,88 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Give the job's id and the position."""
+        """Return the id of the job and the position."""
         return (self.job.name, self.index)
 
     @property
     def has_new_events(self) -> bool:
         """Check whether the current run has produced events."""
-        return len(self.texts) > self.first_event
+        return len(self.texts) > self.events_before_run
 
     def stop(self) -> None:
-        """Make the item give way; its text so far is kept."""
+        """Stop the current run; the text so far is kept."""
         self.is_paused = True
-        if self.answer is not None:
-            self.answer.abort()
+        if self.response is not None:
+            self.response.abort()
 
 
 def run_item(
     work: ItemWork,
     replica: Replica,
     pool: ConnectionPool,
-) -> RunEnd:
-    """Run an item from its last event on.
+) -> RunOutcome:
+    """Run an item, resuming after its last event.
 
-    :param work: the item; its texts grow.
+    :param work: the item; new events are added to its texts.
     :param replica: the upstream.
-    :param pool: connections.
+    :param pool: connections to upstreams.
     :returns: how the run ended.
     """
-    began = time.monotonic()
-    work.first_event = len(work.texts)
-    begun = pool.begin(replica.address, HEAD_SECONDS)
-    if isinstance(begun, Err):
-        return RunEnd.unreachable
-    answer = begun.ok_value
-    work.answer = answer
+    started_at = time.monotonic()
+    work.events_before_run = len(work.texts)
+    opened = pool.begin(replica.address, HEAD_TIMEOUT_SECONDS)
+    if isinstance(opened, Err):
+        return RunOutcome.unreachable
+    response = opened.ok_value
+    work.response = response
     try:
-        end = _read_run(work, replica, answer)
+        outcome = _send_and_read(work, replica, response)
     except (OSError, UnicodeDecodeError):
-        end = RunEnd.paused if work.is_paused else RunEnd.broken
-    if not answer.is_whole:
-        answer.abort()
-    answer.close()
-    work.answer = None
-    work.run_seconds += time.monotonic() - began
-    return end
-
-
-def _read_run(work: ItemWork, replica: Replica, answer: Exchange) -> RunEnd:
+        outcome = RunOutcome.paused if work.is_paused else RunOutcome.broken
+    if not response.is_whole:
+        response.abort()
+    response.close()
+    work.response = None
+    work.run_seconds += time.monotonic() - started_at
+    return outcome
+
+
+def _send_and_read(
+    work: ItemWork, replica: Replica, response: Exchange
+) -> RunOutcome:
     headers = ingress.list_item_headers(
         work.job.host,
         work.item,
         ingress.Send(replica.name, 0, work.last_event, work.job.customer),
     )
     raw = make_request(ITEM_METHOD, work.item.path, headers, work.item.body)
-    answer.send(raw, HEAD_SECONDS)
-    if ingress.has_not_run(answer):
-        instance = ingress.get_instance(answer)
-        answer.read(SILENCE_SECONDS)
-        is_other = bool(instance) and instance != replica.name
-        return RunEnd.replaced if is_other else RunEnd.refused
-    if not ingress.is_own_answer(answer, work.item.name):
-        answer.abort()
-        return RunEnd.broken
-    if not ingress.is_success(answer):
-        answer.read(SILENCE_SECONDS)
-        if answer.status == CANNOT_BE_DONE:
-            return RunEnd.impossible
-        return RunEnd.failed
-    return _read_events(work, answer)
-
-
-def _read_events(work: ItemWork, answer: Exchange) -> RunEnd:
-    reader = EventReader(answer)
+    response.send(raw, HEAD_TIMEOUT_SECONDS)
+    if ingress.has_not_run(response):
+        instance = ingress.get_instance(response)
+        response.read(READ_TIMEOUT_SECONDS)
+        is_other_instance = bool(instance) and instance != replica.name
+        return RunOutcome.replaced if is_other_instance else RunOutcome.refused
+    if not ingress.is_own_answer(response, work.item.name):
+        response.abort()
+        return RunOutcome.broken
+    if not ingress.is_success(response):
+        response.read(READ_TIMEOUT_SECONDS)
+        if response.status == UNPROCESSABLE_STATUS:
+            return RunOutcome.impossible
+        return RunOutcome.failed
+    return _read_events(work, response)
+
+
+def _read_events(work: ItemWork, response: Exchange) -> RunOutcome:
+    reader = EventReader(response)
     while True:
-        event = reader.read(SILENCE_SECONDS)
+        event = reader.read(READ_TIMEOUT_SECONDS)
         if event is None:
-            # Without a length the end of a connection does not prove that
-            # the text is whole; the next run resumes from it.
-            return RunEnd.broken if answer.is_unframed else RunEnd.whole
+            # A response without a length may be truncated at the end of the
+            # connection; the next run resumes after the last event.
+            return (
+                RunOutcome.broken if response.is_unframed else RunOutcome.whole
+            )
         if event.identity:
             work.texts.append(event.text)
             work.last_event = event.identity
--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -1,8 +1,8 @@
-"""Keeps batch items that end the upstream from being run again and again.
+"""Prevents batch items that crash the upstream from being rerun endlessly.
 
-A run that ends with the upstream is no failure of the item's, and goes on from
-its last event.  An item that causes it would end each start of the upstream,
-with the questions that run there.
+A run that is lost in an upstream crash is no failure of the item, and is
+resumed after its last event.  An item that causes the crash would crash each
+restart of the upstream, together with the online requests that run there.
 """
 
 from __future__ import annotations
@@ -26,12 +26,13 @@
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.policy.trial import TrialTable
 
-# What is run apart ends its upstream soon after it begins, or does no harm.  An
-# item runs for 5 s: were each waited for, the last of eight that were lost
-# with an upstream would be 40 s late.
-APART_SECONDS = 0.5
-# An item waits for a place, while questions come first.
-COMPANIES = MappingProxyType(
+# An item that runs apart crashes the upstream soon after its start or not at
+# all.  Items run for 5 s: if each complete run were awaited, the last of eight
+# items that were lost in one crash would be 40 s late.
+CRASH_WINDOW_SECONDS = 0.5
+# Unlike online requests, which have precedence, an item always waits until no
+# other suspected request runs at the upstream.
+ISOLATION_BY_RUN_MODE = MappingProxyType(
     {
         Standing.apart: Company.latecomers,
         Standing.alone: Company.nobody,
@@ -41,13 +42,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemTrials:
-    """Judges the items of one upstream, and learns from their runs.
+    """Decides which items of one upstream may run, and records their runs.
 
-    :param upstream: where they run.
-    :param suspicions: what is known of suspected requests.
-    :param trials: suspected requests at the upstream, questions too.
-    :param ends: finds out whether the upstream has ended.
-    :param quarantine: keeps refused requests in the store.
+    :param upstream: where the items run.
+    :param suspicions: crashes attributed to suspected requests.
+    :param trials: suspected requests at the upstream, online ones included.
+    :param ends: finds out whether the upstream has crashed.
+    :param quarantine: saves refused requests in the store.
     """
 
     upstream: OwnUpstream
@@ -56,60 +57,62 @@
     ends: EndFinder
     quarantine: QuarantineStore
 
-    def may_wait(self, work: ItemWork) -> bool:
-        """Tell whether an item waits for its turn at all.
+    def is_runnable(self, work: ItemWork) -> bool:
+        """Check whether an item may run at all.
 
         :param work: the item.
-        :returns: false where it is refused, and keeps nobody from a slot.
+        :returns: false if it is refused; it then takes no slot from others.
         """
-        return self._judge(work) is not Standing.refused
+        return self._get_run_mode(work) is not Standing.refused
 
-    def may_start(self, work: ItemWork) -> bool:
-        """Tell whether an item may be started now.
+    def try_admit(self, work: ItemWork) -> bool:
+        """Admit an item if it may be started now.
 
-        :param work: the item; it notes what runs beside it.
-        :returns: false where it has to wait, or is not to be run any more.
+        :param work: the item; its ``isolation`` is set.
+        :returns: false if it has to wait or is refused.
         """
-        work.company = ''
-        standing = self._judge(work)
-        if standing is Standing.free:
+        work.isolation = ''
+        run_mode = self._get_run_mode(work)
+        if run_mode is Standing.free:
             return True
-        company = COMPANIES.get(standing)
-        if company is None:
+        isolation = ISOLATION_BY_RUN_MODE.get(run_mode)
+        if isolation is None:
             return False
         now = time.monotonic()
-        verdict = self.trials.ask(work.fingerprint, company, now)
+        verdict = self.trials.ask(work.fingerprint, isolation, now)
         if verdict is not Verdict.granted:
             return False
-        work.company = company.value
-        self.trials.enter(work.fingerprint, company, now)
+        work.isolation = isolation.value
+        self.trials.enter(work.fingerprint, isolation, now)
         return True
 
-    def keep(self, running: Iterable[ItemWork]) -> None:
-        """Keep the places of suspected items that still run.
+    def update(self, running: Iterable[ItemWork]) -> None:
+        """Renew trials of items that run alone; end others after the window.
 
-        :param running: all items that run.
+        :param running: all running items.
         """
         now = time.monotonic()
         for work in running:
-            if work.company == Company.nobody:
+            if work.isolation == Company.nobody:
                 self.trials.enter(work.fingerprint, Company.nobody, now)
-            elif self.trials.is_older(work.fingerprint, now - APART_SECONDS):
+            elif self.trials.is_older(
+                work.fingerprint, now - CRASH_WINDOW_SECONDS
+            ):
                 self.trials.leave(work.fingerprint)
 
-    def leave(self, work: ItemWork) -> None:
-        """Give up the place of an item that runs no more.
+    def finish(self, work: ItemWork) -> None:
+        """End the trial of an item that has stopped running.
 
         :param work: the item.
         """
-        if work.company:
+        if work.isolation:
             self.trials.leave(work.fingerprint)
 
-    def note_break(self, work: ItemWork) -> bool:
-        """Learn from a run that broke off.
+    def record_interrupted_run(self, work: ItemWork) -> bool:
+        """Record a run that broke off.
 
         :param work: the item.
-        :returns: whether the upstream has ended with it.
+        :returns: whether the upstream has crashed.
         """
         replica = self.upstream.replica
         if replica is None:
@@ -117,27 +120,27 @@
         start = name_start(replica.name, replica.incarnation)
         if not self.ends.has_ended(start, replica.address):
             return False
-        # An upstream that leaves ends with what it did not finish in time.
+        # An upstream that shuts down aborts what it did not finish in time.
         if not replica.is_leaving:
             self.suspicions.note_end(
                 work.fingerprint,
                 start,
                 replica.version,
-                was_alone=work.company == Company.nobody,
+                was_alone=work.isolation == Company.nobody,
                 had_output=work.has_new_events,
             )
             self.quarantine.note(work.fingerprint)
         return True
 
-    def note_whole(self, work: ItemWork) -> None:
-        """Clear an item whose run came to its end.
+    def record_completion(self, work: ItemWork) -> None:
+        """Clear the suspicion of an item whose run ended without a crash.
 
         :param work: the item.
         """
         if not self.suspicions.is_empty:
             self.suspicions.clear(work.fingerprint)
 
-    def _judge(self, work: ItemWork) -> Standing:
+    def _get_run_mode(self, work: ItemWork) -> Standing:
         if self.suspicions.is_empty or self.upstream.replica is None:
             return Standing.free
         versions = {self.upstream.replica.version}
--- a/src/wigeonpier/hosted/progress.py
+++ b/src/wigeonpier/hosted/progress.py
@@ -1,4 +1,4 @@
-"""Keeps the text of unfinished items, so that a lost process costs little."""
+"""Saves the text of unfinished items, so that it survives a lost process."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     from wigeonpier.hosted.items import ItemWork
     from wigeonpier.hosted.ledger import JobLedger
 
-# An item runs for about 5 s alone; a lost process then costs half of that.
-SAVE_SECONDS = 2.5
+# An item alone runs for about 5 s; a lost process then costs half of that.
+SAVE_INTERVAL_SECONDS = 2.5
 # Batches progress updates to limit store writes.
-LEAST_EVENTS = 40
-# Below the limits of one call to the store.
-MOST_ITEMS = 24
-MOST_CHARACTERS = 400_000
+MIN_NEW_EVENTS = 40
+# Kept below the limits of one call to the store.
+MAX_ITEMS_PER_SAVE = 24
+MAX_CHARACTERS_PER_SAVE = 400_000
 
 
-class ProgressKeeper:
-    """Writes how far items are, now and then and when the process leaves."""
+class ProgressSaver:
+    """Writes the progress of items periodically and at shutdown."""
 
     def __init__(
         self,
@@ -38,41 +38,43 @@
         work: dict[tuple[str, int], ItemWork],
         estimate_run_seconds: Callable[[], float],
     ) -> None:
-        """Keep the progress of the runner's items.
+        """Save the progress of the runner's items once started.
 
         :param ledger: jobs in the store.
         :param work: items of this process.
-        :param estimate_run_seconds: tells how long a whole item takes.
+        :param estimate_run_seconds: estimates how long a complete item takes.
         """
         self._ledger = ledger
         self._work = work
         self._estimate_run_seconds = estimate_run_seconds
 
     def start(self) -> None:
-        """Begin to save."""
+        """Start saving periodically."""
         spawn_loop('progress', self._step)
 
     def save_all(self) -> None:
-        """Save all items that have new text, since this process leaves."""
+        """Save all items with new text before the process shuts down."""
         self._save(
             work
             for work in self._work.values()
             if len(work.texts) > work.saved_events
         )
 
-    def save_worthy(self) -> None:
-        """Save items that would be late if they were lost now."""
+    def save_due(self) -> None:
+        """Save the items that would be late if they were lost now."""
         now = time.monotonic()
         run_seconds = self._estimate_run_seconds()
         self._save(
             work
             for work in self._work.values()
-            if len(work.texts) - work.saved_events >= LEAST_EVENTS
-            and is_worth_keeping(work.due_at - now, run_seconds, SAVE_SECONDS)
+            if len(work.texts) - work.saved_events >= MIN_NEW_EVENTS
+            and is_worth_keeping(
+                work.due_at - now, run_seconds, SAVE_INTERVAL_SECONDS
+            )
         )
 
-    def _save(self, worth: Iterable[ItemWork]) -> None:
-        batch = list(_limit(worth))
+    def _save(self, candidates: Iterable[ItemWork]) -> None:
+        batch = list(_limit_batch(candidates))
         if not batch:
             return
         progress = {
@@ -95,14 +97,16 @@
             work.saved_events = len(progress[work.key].texts)
 
     def _step(self) -> None:
-        gevent.sleep(SAVE_SECONDS)
-        self.save_worthy()
+        gevent.sleep(SAVE_INTERVAL_SECONDS)
+        self.save_due()
 
 
-def _limit(worth: Iterable[ItemWork]) -> Iterable[ItemWork]:
+def _limit_batch(candidates: Iterable[ItemWork]) -> Iterable[ItemWork]:
     size = 0
-    for number, work in enumerate(worth):
+    for number, work in enumerate(candidates):
         size += sum(len(text) for text in work.texts)
-        if number and (number >= MOST_ITEMS or size > MOST_CHARACTERS):
+        if number and (
+            number >= MAX_ITEMS_PER_SAVE or size > MAX_CHARACTERS_PER_SAVE
+        ):
             return
         yield work
--- a/src/wigeonpier/hosted/runner.py
+++ b/src/wigeonpier/hosted/runner.py
@@ -1,4 +1,4 @@
-"""Runs batch items at the upstream on this VM, beside its questions."""
+"""Runs batch items at the upstream on this VM, beside online requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import gevent
 
-from wigeonpier.hosted.items import NOT_RUN, ItemWork, RunEnd, run_item
+from wigeonpier.hosted.items import NOT_RUN, ItemWork, RunOutcome, run_item
 from wigeonpier.loops import spawn_loop
 from wigeonpier.models import ItemResult, ItemState
 from wigeonpier.policy import pacing
@@ -28,7 +28,7 @@
 
     Key = tuple[str, int]
 
-# A question that waits for a slot waits for the next tick at most.
+# An online request that waits for a slot waits at most until the next step.
 TICK_SECONDS = 0.05
 IDLE_TICK_SECONDS = 0.25
 RETRY_SECONDS = 0.25
@@ -36,7 +36,7 @@
 
 
 class ItemRunner:
-    """Starts, pauses and finishes items as the pace says."""
+    """Starts, pauses and finishes items as decided by the pacing policy."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         writer: ResultWriter,
         pool: ConnectionPool,
         metrics: Metrics,
-        book: SlotTable,
+        slots: SlotTable,
         trials: ItemTrials,
     ) -> None:
         """Run items at the upstream once started."""
@@ -54,27 +54,27 @@
         self._writer = writer
         self._pool = pool
         self._metrics = metrics
-        self._book = book
+        self._slots = slots
         self._finished: set[Key] = set()
         self._lengths = RunLengths()
         self._is_leaving = False
         self.breaker = CircuitBreaker()
 
     def start(self) -> None:
-        """Begin to run items."""
-        spawn_loop('pace', self._tick)
+        """Start running items."""
+        spawn_loop('pace', self._step)
 
     def leave(self) -> None:
-        """Start no item any more, and stop those that run."""
+        """Start no more items and stop the running ones."""
         self._is_leaving = True
         for work in self.work.values():
             work.stop()
 
     def add(self, work: ItemWork) -> bool:
-        """Take up an item unless it is known.
+        """Add an item unless it is already queued, running or finished.
 
         :param work: the item.
-        :returns: whether it is new here.
+        :returns: whether it was added.
         """
         if work.key in self.work or work.key in self._finished:
             return False
@@ -82,39 +82,39 @@
         return True
 
     def count_yielding(self) -> int:
-        """Count the items at the upstream that give way to questions.
+        """Count the running items that are paused when requests need slots.
 
-        :returns: how many.
+        :returns: number of items.
         """
         now = time.monotonic()
         running = [
-            self._view_item(work, now)
+            self._make_item_view(work, now)
             for work in self.work.values()
             if work.is_running
         ]
-        upstream = self._view_upstream()
+        upstream = self._make_upstream_view()
         if upstream is None:
             return len(running)
         return len(running) - pacing.count_firm(upstream, running)
 
     def make_room(self) -> None:
-        """Start items into free slots, and have them give way to questions.
+        """Start items in free slots, and pause items for online requests.
 
-        Whoever sets a slot aside calls it too: at the next tick the question
-        would wait for some 50 ms more.
+        It is also called when a slot is reserved: if that waited for the next
+        step, the request would be delayed by some 50 ms.
         """
         if self.work and self._upstream.is_usable and not self._is_leaving:
-            self._set_pace()
+            self._apply_pace()
 
     def estimate_run_seconds(self) -> float:
-        """Tell how long a whole item takes.
+        """Estimate how long a complete item takes.
 
-        :returns: seconds, as learned so far.
+        :returns: seconds, from the items that have run so far.
         """
         return self._lengths.seconds
 
     def drop_job(self, job: str) -> None:
-        """Stop all items of a job that ended or runs elsewhere now.
+        """Stop all items of a job that ended or was assigned elsewhere.
 
         :param job: id of the job.
         """
@@ -123,21 +123,21 @@
                 self.work.pop(work.key)
                 work.is_dropped = True
                 work.stop()
-        self._finished = {known for known in self._finished if known[0] != job}
+        self._finished = {key for key in self._finished if key[0] != job}
 
-    def _tick(self) -> None:
+    def _step(self) -> None:
         if not self.work:
             gevent.sleep(IDLE_TICK_SECONDS)
             if not self._upstream.is_usable or not self._upstream.report:
                 self._upstream.look()
             return
         self._upstream.look()
-        self._expire()
+        self._abandon_expired()
         self.make_room()
         gevent.sleep(TICK_SECONDS)
 
-    def _set_pace(self) -> None:
-        upstream = self._view_upstream()
+    def _apply_pace(self) -> None:
+        upstream = self._make_upstream_view()
         if upstream is None:
             return
         now = time.monotonic()
@@ -149,25 +149,25 @@
             if not is_refusing
             and not work.is_running
             and work.retry_at <= now
-            and self._trials.may_wait(work)
+            and self._trials.is_runnable(work)
         ]
         pace = pacing.set_pace(
             upstream,
-            [self._view_item(work, now) for work in running],
-            [self._view_item(work, now) for work in waiting],
+            [self._make_item_view(work, now) for work in running],
+            [self._make_item_view(work, now) for work in waiting],
         )
         for key in pace.pause:
             work = self.work[key]
             self._log_item(Event.item_paused, work)
             work.stop()
-        self._trials.keep(running)
+        self._trials.update(running)
         for key in pace.start:
             self._start(self.work[key])
 
     def _start(self, work: ItemWork) -> None:
-        # A run that ends with its upstream is no failure, and one that causes
-        # that would end each of its next starts.
-        if not self._trials.may_start(work):
+        # A run that is lost in an upstream crash is no failure of the item,
+        # but an item that causes the crash would crash each restart as well.
+        if not self._trials.try_admit(work):
             return
         work.is_running = True
         work.is_paused = False
@@ -176,24 +176,24 @@
 
     def _run(self, work: ItemWork) -> None:
         replica = self._upstream.replica
-        end = self._run_once(work, replica)
+        outcome = self._run_once(work, replica)
         work.is_running = False
-        self._trials.leave(work)
-        self._note_end(end, replica)
+        self._trials.finish(work)
+        self._update_breaker(outcome, replica)
         if work.is_dropped:
             return
-        self._metrics.count('item_runs_total', end=end.value)
-        if end is RunEnd.whole:
+        self._metrics.count('item_runs_total', end=outcome.value)
+        if outcome is RunOutcome.whole:
             self._lengths.record(work.run_seconds, len(work.texts))
-            self._trials.note_whole(work)
+            self._trials.record_completion(work)
             self._finish(work, ItemState.completed)
-        elif end is RunEnd.impossible:
-            self._trials.note_whole(work)
+        elif outcome is RunOutcome.impossible:
+            self._trials.record_completion(work)
             self._finish(work, ItemState.abandoned)
-        elif end is not RunEnd.paused:
-            self._note_bad_run(work, end)
+        elif outcome is not RunOutcome.paused:
+            self._record_failed_run(work, outcome)
 
-    def _view_upstream(self) -> pacing.UpstreamView | None:
+    def _make_upstream_view(self) -> pacing.UpstreamView | None:
         report = self._upstream.report
         replica = self._upstream.replica
         if report is None or replica is None:
@@ -201,54 +201,59 @@
         return pacing.UpstreamView(
             replica.slots,
             report.running,
-            report.waiting + self._book.count(self._upstream.looked_at),
+            report.waiting + self._slots.count(self._upstream.looked_at),
             self._lengths.seconds,
             self._lengths.deviation,
         )
 
-    def _note_end(self, end: RunEnd, replica: Replica | None) -> None:
-        """Learn from a run whether the upstream takes items at all."""
-        if end is RunEnd.paused:
+    def _update_breaker(
+        self, outcome: RunOutcome, replica: Replica | None
+    ) -> None:
+        """Record in the breaker whether the upstream accepts items."""
+        if outcome is RunOutcome.paused:
             return
-        if end not in NOT_RUN:
+        if outcome not in NOT_RUN:
             self.breaker.record_run()
             return
-        upstream = self._view_upstream()
+        upstream = self._make_upstream_view()
         self.breaker.record_refusal(
             time.monotonic(),
             has_free_slot=upstream is not None and upstream.has_free_slot,
         )
-        if end is RunEnd.replaced and replica is not None:
+        if outcome is RunOutcome.replaced and replica is not None:
             self._upstream.note_replaced(replica)
 
-    def _run_once(self, work: ItemWork, replica: Replica | None) -> RunEnd:
+    def _run_once(self, work: ItemWork, replica: Replica | None) -> RunOutcome:
         if replica is None:
-            return RunEnd.unreachable
+            return RunOutcome.unreachable
         try:
             return run_item(work, replica, self._pool)
         except Exception:
-            # A fault of ours must not keep the item from being run again.
+            # A bug in this process must not keep the item from being retried.
             log_event(
                 Event.loop_failed,
                 loop='item',
                 item=work.item.name,
                 trace=traceback.format_exc(),
             )
-            return RunEnd.broken
+            return RunOutcome.broken
 
-    def _note_bad_run(self, work: ItemWork, end: RunEnd) -> None:
+    def _record_failed_run(self, work: ItemWork, outcome: RunOutcome) -> None:
         pause = RETRY_SECONDS
-        has_ended = end is RunEnd.broken and self._trials.note_break(work)
-        if end is RunEnd.failed:
-            self._trials.note_whole(work)
+        has_crashed = (
+            outcome is RunOutcome.broken
+            and self._trials.record_interrupted_run(work)
+        )
+        if outcome is RunOutcome.failed:
+            self._trials.record_completion(work)
             work.failures += 1
             pause = FAILED_RETRY_SECONDS
         self._log_item(
             Event.item_broken,
             work,
-            end=end.value,
+            end=outcome.value,
             fingerprint=work.fingerprint,
-            has_ended=has_ended,
+            has_ended=has_crashed,
         )
         if work.failures >= work.job.tries:
             self._finish(work, ItemState.abandoned)
@@ -262,10 +267,10 @@
         self._log_item(Event.item_done, work, state=state.value)
         self._metrics.count('items_total', state=state.value)
 
-    def _expire(self) -> None:
+    def _abandon_expired(self) -> None:
         now = time.monotonic()
         for work in list(self.work.values()):
-            if now > work.keep_until and not work.is_running:
+            if now > work.attempt_until and not work.is_running:
                 self._finish(work, ItemState.abandoned)
 
     def _log_item(
@@ -284,7 +289,7 @@
             **fields,
         )
 
-    def _view_item(self, work: ItemWork, now: float) -> pacing.ItemView:
+    def _make_item_view(self, work: ItemWork, now: float) -> pacing.ItemView:
         return pacing.ItemView(
             work.key,
             work.due_at - now,
--- a/src/wigeonpier/hosted/worker.py
+++ b/src/wigeonpier/hosted/worker.py
@@ -1,4 +1,4 @@
-"""Composition root of the process beside an upstream."""
+"""Composition root of the worker, which runs on the VM of an upstream."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wigeonpier.hosted.loadfeed import LoadFeed
 from wigeonpier.hosted.membership import Membership
 from wigeonpier.hosted.newest import NewestHandler
-from wigeonpier.hosted.progress import ProgressKeeper
+from wigeonpier.hosted.progress import ProgressSaver
 from wigeonpier.hosted.quarantine.store import QuarantineStore
 from wigeonpier.hosted.relay import RelayHandler
 from wigeonpier.hosted.reservations import ReservationHandler, SlotTable
@@ -34,15 +34,19 @@
 if TYPE_CHECKING:
     from wigeonpier.hosted.common import Common
 
-LEAVE_STEP_SECONDS = 0.05
-USABLE_STEP_SECONDS = 0.1
+LEAVE_POLL_SECONDS = 0.05
+USABLE_POLL_SECONDS = 0.1
 
 
 class WorkerApp:
-    """The process beside an upstream: batch items."""
+    """The worker of an upstream.
+
+    It runs batch items, reports the load of the upstream, and reserves slots
+    for online requests.
+    """
 
     def __init__(self, common: Common) -> None:
-        """Wire the worker; nothing runs yet."""
+        """Create the components without starting them."""
         settings = common.settings
         ledger = JobLedger(common.store)
         self._common = common
@@ -52,7 +56,7 @@
             settings.upstream,
         )
         self._writer = ResultWriter(ledger, common.contact.wait)
-        book = SlotTable()
+        slots = SlotTable()
         suspicions = Suspicions()
         trials = TrialTable()
         quarantine = QuarantineStore(
@@ -72,10 +76,10 @@
             self._writer,
             common.pool,
             common.metrics,
-            book,
+            slots,
             self._trials,
         )
-        self._progress = ProgressKeeper(
+        self._progress = ProgressSaver(
             ledger,
             self._runner.work,
             self._runner.estimate_run_seconds,
@@ -94,7 +98,7 @@
             self._upstream,
             self._runner,
             self._feed,
-            book,
+            slots,
             trials,
             usage,
         )
@@ -125,7 +129,7 @@
         )
 
     def start(self) -> str:
-        """Follow the upstream and the assignments.
+        """Start listening, and follow the upstream and the assignments.
 
         :returns: address for entries.
         """
@@ -141,25 +145,25 @@
             self._membership,
         ):
             part.start()
-        spawn_loop('membership wanted', self._follow_usable)
+        spawn_loop('membership wanted', self._update_membership)
         return self._server.address
 
     def leave(self, seconds: float) -> int:
-        """Stop items, and keep what they have so far.
+        """Stop all items and save their progress.
 
-        :param seconds: longest time.
-        :returns: 1 where results are left unwritten.
+        :param seconds: longest time to write results.
+        :returns: 1 if results are left unwritten, else 0.
         """
-        give_up = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         self._feed.is_closed = True
         self._runner.leave()
         self._progress.save_all()
-        while not self._writer.is_idle and time.monotonic() < give_up:
-            gevent.sleep(LEAVE_STEP_SECONDS)
+        while not self._writer.is_idle and time.monotonic() < deadline:
+            gevent.sleep(LEAVE_POLL_SECONDS)
         self._membership.leave()
         return int(not self._writer.is_idle)
 
-    def _follow_usable(self) -> None:
+    def _update_membership(self) -> None:
         is_open = self._runner.breaker.is_open(time.monotonic())
         self._membership.is_wanted = self._upstream.is_usable and not is_open
-        gevent.sleep(USABLE_STEP_SECONDS)
+        gevent.sleep(USABLE_POLL_SECONDS)
--- a/tests/hosted/test_assignments.py
+++ b/tests/hosted/test_assignments.py
@@ -1,4 +1,4 @@
-"""Items that a process takes up, and ends that come meanwhile."""
+"""Items that a process adopts, and jobs that end while they are read."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class SlowLedger:
-    """Answers after a while, as a slowed store does."""
+    """Ledger whose reads are delayed, like those of a slow store."""
 
     store = None
 
     def __init__(self) -> None:
-        """Know one item that is half done."""
+        """Start with the progress of one unfinished item."""
         self.done: list = []
         self.progress = {1: ItemProgress(('a', 'b'), '2', 1)}
 
@@ -47,11 +47,11 @@
         return Ok(self.progress)
 
 
-class Taker:
-    """Notes what is taken up and dropped."""
+class RecordingRunner:
+    """Runner that records which items are added and dropped."""
 
     def __init__(self) -> None:
-        """Begin with nothing."""
+        """Start without items."""
         self.work: list[ItemWork] = []
 
     def add(self, work: ItemWork) -> bool:
@@ -62,83 +62,87 @@
         self.work.clear()
 
 
-def build_change(
+def build_assignment_change(
     *, is_moved: bool, items=(), sent_at: float = 0, job: str = 'j'
 ) -> Change:
-    """Make an assignment of two items of three."""
+    """Build the change that assigns two of three items."""
     job = make_open_job(job, owners=('vm', 'vm', 'other'), sent_at=sent_at)
     assignment = Assignment(job, (0, 1), tuple(items), is_moved)
     return Change(KEY, msgspec.json.encode(assignment), 5, 5)
 
 
-def build_follower() -> tuple[AssignmentFollower, Taker]:
-    """Make a follower that nothing watches."""
-    taker = Taker()
+def build_follower() -> tuple[AssignmentFollower, RecordingRunner]:
+    """Build a follower whose view is complete but not started."""
+    runner = RecordingRunner()
     follower = AssignmentFollower(
         'vm',
         SlowLedger(),
-        taker,
+        runner,
         Common(make_settings('side-0', '127.0.0.1:1')).view,
         lambda: None,
     )
     follower.view.is_complete = True
-    return follower, taker
+    return follower, runner
 
 
-def test_an_end_while_items_are_read_is_not_missed() -> None:
-    """The end came between two reads, and the items ran for seconds."""
-    follower, taker = build_follower()
-    follower._apply(build_change(is_moved=True))
+def test_items_of_a_job_that_ends_during_the_read_are_not_run() -> None:
+    """The job ended between two reads, and its items ran for seconds."""
+    follower, runner = build_follower()
+    follower._apply(build_assignment_change(is_moved=True))
     gevent.sleep(0.02)
     follower._apply(Change(KEY, None, 6))
     gevent.sleep(0.2)
-    assert not taker.work
+    assert not runner.work
 
 
-def test_a_new_assignment_needs_no_call() -> None:
-    follower, taker = build_follower()
-    follower._apply(build_change(is_moved=False, items=ITEMS[:2]))
-    assert [work.index for work in taker.work] == [0, 1]
+def test_a_new_assignment_needs_no_store_call() -> None:
+    follower, runner = build_follower()
+    follower._apply(build_assignment_change(is_moved=False, items=ITEMS[:2]))
+    assert [work.index for work in runner.work] == [0, 1]
 
 
-def test_a_moved_item_goes_on_where_its_text_ends() -> None:
-    follower, taker = build_follower()
-    follower._apply(build_change(is_moved=True))
+def test_a_reassigned_item_resumes_after_its_saved_text() -> None:
+    follower, runner = build_follower()
+    follower._apply(build_assignment_change(is_moved=True))
     gevent.sleep(0.2)
-    resumed = taker.work[1]
+    resumed = runner.work[1]
     assert (resumed.texts, resumed.last_event) == (['a', 'b'], '2')
     assert resumed.failures == 1
 
 
-def test_what_is_no_assignment_is_left() -> None:
-    follower, taker = build_follower()
+def test_an_undecodable_assignment_is_ignored() -> None:
+    follower, runner = build_follower()
     follower._apply(Change(KEY, b'{}', 5, 5))
-    assert not taker.work
+    assert not runner.work
 
 
-@pytest.mark.parametrize('ahead', [600, 4000])
-def test_a_clock_that_is_ahead_gives_up_no_item(ahead) -> None:
-    """All items of a job were listed as abandoned when it was accepted."""
-    follower, taker = build_follower()
-    sent_at = time.time() - ahead
+@pytest.mark.parametrize('clock_offset', [600, 4000])
+def test_no_item_is_abandoned_because_a_clock_is_ahead(clock_offset) -> None:
+    """All items of a job were abandoned as soon as it was accepted."""
+    follower, runner = build_follower()
+    sent_at = time.time() - clock_offset
     follower._apply(
-        build_change(is_moved=False, items=ITEMS[:2], sent_at=sent_at),
+        build_assignment_change(
+            is_moved=False, items=ITEMS[:2], sent_at=sent_at
+        ),
     )
     follower._apply(
-        build_change(is_moved=True, items=ITEMS[:2], sent_at=sent_at),
+        build_assignment_change(
+            is_moved=True, items=ITEMS[:2], sent_at=sent_at
+        ),
     )
     gevent.sleep(0.2)
     retention = make_open_job().retention
     now = time.monotonic()
-    assert len(taker.work) == 4
-    assert min(work.keep_until - now for work in taker.work) > retention - 1
+    assert len(runner.work) == 4
+    assert min(work.attempt_until - now for work in runner.work) > retention - 1
 
 
-def test_an_item_whose_job_seems_old_is_tried_for_a_while() -> None:
-    """Nothing has shown yet that the clock of this VM is right."""
-    follower, taker = build_follower()
+def test_an_item_of_a_seemingly_old_job_is_attempted_for_a_while() -> None:
+    """The clock of this VM has not been compared with others yet."""
+    follower, runner = build_follower()
     sent_at = time.time() - 600
-    follower._apply(build_change(is_moved=True, sent_at=sent_at))
+    follower._apply(build_assignment_change(is_moved=True, sent_at=sent_at))
     gevent.sleep(0.2)
     now = time.monotonic()
-    assert min(work.keep_until - now for work in taker.work) > 5
+    assert min(work.attempt_until - now for work in runner.work) > 5
