--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -1,4 +1,4 @@
-"""Finds a slot for a question before it is sent, and holds it until then."""
+"""Finds a slot for an online request, and holds the request until then."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
     from wigeonpier.hosted.trials import TrialPlacer
     from wigeonpier.policy.route import UpstreamState
 
-# A stream that has begun waits so long for a place of its own; its caller
-# leaves after a gap of 2 s.
-LONE_HOLD_SECONDS = 1.0
-# Questions that wait for the same slot look at different moments.
-SPREAD = (0.5, 1.5)
+# Longest hold of a suspected request whose stream has begun; its caller
+# disconnects after a gap of 2 s.
+ISOLATED_HOLD_SECONDS = 1.0
+# Spreads the attempts of requests that wait for the same slot.
+PAUSE_JITTER = (0.5, 1.5)
 
 
 @dataclass(slots=True)
 class SlotBinder:
-    """Chooses the upstream to which a question goes next.
+    """Chooses the upstream to which an online request is sent next.
 
     :param replicas: upstreams that may be routed to.
     :param chooser: chooses among them.
     :param draw: source of randomness.
-    :param reach: whether any upstream is reached.
-    :param reserver: asks for slots beside the upstreams.
-    :param suspects: judges questions under which upstreams have ended.
-    :param trials: finds places for them.
-    :param turns: whose turn it is among questions that are held.
+    :param reach: whether any upstream can be reached.
+    :param reserver: reserves slots at the workers of the upstreams.
+    :param suspects: tracks requests under which upstreams have crashed.
+    :param trials: finds upstreams for these.
+    :param gate: admits held requests in order of priority.
     """
 
     replicas: ReplicaRegister
@@ -57,144 +57,146 @@
     trials: TrialPlacer
     gate: PriorityGate = field(default_factory=PriorityGate)
 
-    def bind(self, question: Question) -> UpstreamState | None:
-        """Choose an upstream that has room; hold the question while none has.
+    def bind(self, request: Question) -> UpstreamState | None:
+        """Choose an upstream with a free slot; hold the request until one has.
 
-        Where the time is up, or nobody tells of room, the least busy one is
-        taken.  On a route without an objective nothing tells what is late.
+        When the hold times out, or no worker answers, the least busy upstream
+        is chosen.  A route without a latency objective does not define which
+        requests are late, so only suspected ones are held there.
 
-        :param question: the question.
-        :returns: the upstream, ``None`` where there is none.
-        :raises CallerGoneError: when the caller has left meanwhile.
+        :param request: the request.
+        :returns: the upstream, ``None`` if there is none.
+        :raises CallerGoneError: if the caller has disconnected meanwhile.
         """
-        question.company = ''
-        if not self._is_held_back(question):
-            return self.chooser.choose(question)
-        self.gate.enter(question.priority)
+        request.company = ''
+        if not self._needs_slot(request):
+            return self.chooser.choose(request)
+        self.gate.enter(request.priority)
         with ExitStack() as stack:
-            stack.callback(self.gate.leave, question.priority)
-            return self._hold(question)
+            stack.callback(self.gate.leave, request.priority)
+            return self._wait_for_slot(request)
 
-    def find_obstacle(self, question: Question) -> SendFailure | None:
-        """Tell why one more send of a question would be of no use.
+    def find_obstacle(self, request: Question) -> SendFailure | None:
+        """Find the reason why a request must not be sent once more.
 
-        :param question: the question.
-        :returns: the reason, ``None`` where it is of use.
+        :param request: the request.
+        :returns: the reason, ``None`` if it may be sent.
         """
-        if question.seconds_left <= 0:
+        if request.seconds_left <= 0:
             return SendFailure.no_time
-        # Passed on, it would end the next upstream as well: two attempts of
-        # one caller, at two entries, ended four within 0.43 s.
-        if self.is_refused(question):
+        # It would crash the next upstream as well: two attempts of one caller,
+        # at two entries, crashed four upstreams within 0.43 s.
+        if self.is_refused(request):
             return SendFailure.condemned
         return SendFailure.cut_off if self.reach.is_cut_off else None
 
-    def is_refused(self, question: Question) -> bool:
-        """Tell whether a question is not run any more.
+    def is_refused(self, request: Question) -> bool:
+        """Check whether a request is no longer run.
 
-        :param question: the question.
-        :returns: true for one under which upstreams end.
+        :param request: the request.
+        :returns: true if it crashes upstreams.
         """
-        return self.suspects.judge(question) is Standing.refused
+        return self.suspects.judge(request) is Standing.refused
 
     def reserve_at(
         self,
-        question: Question,
+        request: Question,
         upstream: UpstreamState,
     ) -> Answer:
-        """Ask beside an upstream for a slot.
+        """Request a slot from the worker of an upstream.
 
-        :param question: the question that is to have it.
-        :param upstream: where.
-        :returns: whether a slot is set aside.
+        :param request: the request that needs the slot.
+        :param upstream: the upstream.
+        :returns: whether a slot is reserved.
         """
-        question.asks += 1
+        request.asks += 1
         return self.reserver.ask(
             upstream,
-            question.route.objective * reservation.ASK_SHARE,
-            is_late=reservation.is_late(self._measure_share(question)),
+            request.route.objective * reservation.ASK_SHARE,
+            is_late=reservation.is_late(self._measure_waited_share(request)),
         )
 
-    def _hold(self, question: Question) -> UpstreamState | None:
-        give_up = self._limit_hold(question)
+    def _wait_for_slot(self, request: Question) -> UpstreamState | None:
+        deadline = self._compute_hold_deadline(request)
         while True:
-            chosen = self._ask_in_turn(question)
+            chosen = self._try_reserve_in_turn(request)
             if chosen is not None:
                 return chosen
-            is_over = time.monotonic() >= give_up
-            if is_over or self.find_obstacle(question):
-                return self._choose_late(question)
-            if not self._is_any_near(question):
+            is_expired = time.monotonic() >= deadline
+            if is_expired or self.find_obstacle(request):
+                return self._choose_after_wait(request)
+            if not self._is_any_expected(request):
                 return None
-            pause = reservation.plan_round(self._measure_share(question))
-            gevent.sleep(pause * self.draw.uniform(*SPREAD))
-            if question.is_gone:
+            pause = reservation.plan_round(self._measure_waited_share(request))
+            gevent.sleep(pause * self.draw.uniform(*PAUSE_JITTER))
+            if request.is_gone:
                 raise CallerGoneError('the caller has left')
 
-    def _ask_in_turn(self, question: Question) -> UpstreamState | None:
-        if not self.gate.is_admitted(question.priority):
+    def _try_reserve_in_turn(self, request: Question) -> UpstreamState | None:
+        if not self.gate.is_admitted(request.priority):
             return None
-        return self._find_room(question)
+        return self._find_slot(request)
 
-    def _limit_hold(self, question: Question) -> float:
-        """Limit until when it is held, seconds of the steady clock."""
+    def _compute_hold_deadline(self, request: Question) -> float:
+        """Return the end of the hold, seconds of the monotonic clock."""
         now = time.monotonic()
-        if question.first_event_at and self._is_suspected(question):
-            return now + LONE_HOLD_SECONDS
-        return question.began_at + reservation.limit_hold(
-            question.give_up_at - question.began_at,
-            has_begun=bool(question.first_event_at),
+        if request.first_event_at and self._is_suspected(request):
+            return now + ISOLATED_HOLD_SECONDS
+        return request.began_at + reservation.limit_hold(
+            request.give_up_at - request.began_at,
+            has_begun=bool(request.first_event_at),
         )
 
-    def _choose_late(self, question: Question) -> UpstreamState | None:
-        if self._is_suspected(question):
-            place = self.trials.find_late(question)
+    def _choose_after_wait(self, request: Question) -> UpstreamState | None:
+        if self._is_suspected(request):
+            place = self.trials.find_late(request)
             if place is not None:
                 return place
-        return self.chooser.choose(question)
+        return self.chooser.choose(request)
 
-    def _is_suspected(self, question: Question) -> bool:
-        return self.suspects.judge(question) is not Standing.free
+    def _is_suspected(self, request: Question) -> bool:
+        return self.suspects.judge(request) is not Standing.free
 
-    def _is_held_back(self, question: Question) -> bool:
-        """Tell whether it waits for room; without an objective none is late."""
-        return bool(question.route.objective) or self._is_suspected(question)
+    def _needs_slot(self, request: Question) -> bool:
+        """Check whether a request is held until a slot is reserved."""
+        return bool(request.route.objective) or self._is_suspected(request)
 
-    def _find_room(self, question: Question) -> UpstreamState | None:
-        """Ask for a slot, apart from others where the question is suspected."""
-        standing = self.suspects.judge(question)
-        if standing is Standing.free:
-            return self._reserve(question)
-        return self.trials.find_place(question, standing)
+    def _find_slot(self, request: Question) -> UpstreamState | None:
+        """Reserve a slot, apart from other suspects if it is suspected."""
+        run_mode = self.suspects.judge(request)
+        if run_mode is Standing.free:
+            return self._reserve(request)
+        return self.trials.find_place(request, run_mode)
 
-    def _is_any_near(self, question: Question) -> bool:
-        """Tell whether an upstream is there, or is about to be."""
-        if self.chooser.choose(question) or self.replicas.is_outdated:
+    def _is_any_expected(self, request: Question) -> bool:
+        """Check whether an upstream is known, or may return after a crash."""
+        if self.chooser.choose(request) or self.replicas.is_outdated:
             return True
-        return self.replicas.is_any_ended(question.service)
+        return self.replicas.is_any_ended(request.service)
 
-    def _reserve(self, question: Question) -> UpstreamState | None:
-        """Ask beside a few upstreams for a slot, the likeliest first.
+    def _reserve(self, request: Question) -> UpstreamState | None:
+        """Try to reserve a slot at a few upstreams, the likeliest first.
 
-        :returns: the upstream to send to, ``None`` where all have said no;
-            one that nobody could be asked for is sent to without a slot.
+        :returns: the upstream to send to, ``None`` if a worker refused and
+            none reserved a slot.  An upstream is returned without a slot if
+            its load feed is missing or no worker refused.
         """
-        asked: set[str] = set()
-        is_refused = False
-        while len(asked) < reservation.MOST_ASKS:
-            drawn = self.chooser.choose(question, asked)
-            if drawn is None:
+        tried: set[str] = set()
+        has_refusal = False
+        while len(tried) < reservation.MOST_ASKS:
+            candidate = self.chooser.choose(request, tried)
+            if candidate is None:
                 break
-            # Without a load feed there is no process to reserve a slot at.
-            if drawn.fed_until <= time.monotonic():
-                return drawn
-            answer = self.reserve_at(question, drawn)
-            if answer is Answer.granted:
-                return drawn
-            is_refused = is_refused or answer is Answer.refused
-            asked.add(drawn.name)
-        return None if is_refused else self.chooser.choose(question)
-
-    def _measure_share(self, question: Question) -> float:
-        waited = time.monotonic() - question.began_at
-        return waited / question.route.objective
+            # Without a load feed there is no worker to reserve a slot at.
+            if candidate.fed_until <= time.monotonic():
+                return candidate
+            reservation_outcome = self.reserve_at(request, candidate)
+            if reservation_outcome is Answer.granted:
+                return candidate
+            has_refusal = has_refusal or reservation_outcome is Answer.refused
+            tried.add(candidate.name)
+        return None if has_refusal else self.chooser.choose(request)
+
+    def _measure_waited_share(self, request: Question) -> float:
+        waited = time.monotonic() - request.began_at
+        return waited / request.route.objective
