--- a/src/wigeonpier/hosted/reader.py
+++ b/src/wigeonpier/hosted/reader.py
@@ -1,4 +1,4 @@
-"""Has the results of jobs read by a process with a disk."""
+"""Reads the results of jobs through a process with a disk."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from wigeonpier.hosted.readings import name_target
+from wigeonpier.hosted.readings import make_target
 from wigeonpier.models import ResultPage
 from wigeonpier.policy.ranking import rank_by_key
 from wigeonpier.web.exchange import make_request
@@ -18,16 +18,16 @@
     from wigeonpier.telemetry.metrics import Metrics
     from wigeonpier.web.pool import ConnectionPool
 
-# Beyond the wait that the caller allows, who waits 1.5 s longer than that:
-# half a second is left to look at the store from here.
-SLACK_SECONDS = 0.5
-# One that did not answer is not asked again for so long; a process that was
-# killed is back within about a second.
-DISTRUST_SECONDS = 2.0
+# Added to the wait that the caller allows.  The caller itself waits 1.5 s
+# longer than that; half a second is left to read the store directly.
+REPLY_SLACK_SECONDS = 0.5
+# A process that did not answer is not called for this long; a killed process
+# is back within about a second.
+AVOID_SECONDS = 2.0
 
 
 class JobReader:
-    """Asks the one process with a disk that follows a job."""
+    """Reads results from the one process with a disk that follows the job."""
 
     def __init__(
         self,
@@ -35,46 +35,46 @@
         pool: ConnectionPool,
         metrics: Metrics,
     ) -> None:
-        """Ask those whom the holder's board shows."""
+        """Read from the processes on the holder's board."""
         self._holder = holder
         self._pool = pool
         self._metrics = metrics
-        self._distrusted: dict[str, float] = {}
+        self._avoid_until: dict[str, float] = {}
 
     def read(self, job: str, after: int, wait: float) -> ResultPage | None:
-        """Read results.
+        """Read the results of a job from a position on.
 
         :param job: id of the job.
-        :param after: position of the first one wanted.
-        :param wait: longest wait for it, seconds.
-        :returns: the results, ``None`` where the store has to be asked.
+        :param after: position of the first result wanted.
+        :param wait: longest wait for that result, seconds.
+        :returns: the results, ``None`` if the store has to be read instead.
         """
         disk = self._choose(job)
         if disk is None:
             return None
         raw = make_request(
             'GET',
-            name_target(job, after, wait),
+            make_target(job, after, wait),
             [('Host', disk.address)],
         )
-        called = self._pool.call(disk.address, raw, wait + SLACK_SECONDS)
-        if isinstance(called, Err):
-            self._distrusted[disk.name] = time.monotonic() + DISTRUST_SECONDS
+        replied = self._pool.call(disk.address, raw, wait + REPLY_SLACK_SECONDS)
+        if isinstance(replied, Err):
+            self._avoid_until[disk.name] = time.monotonic() + AVOID_SECONDS
             self._count('unanswered')
             return None
-        reply = called.ok_value
+        reply = replied.ok_value
         self._count('read' if reply.is_good else 'refused')
         return reply.decode(ResultPage) if reply.is_good else None
 
     def _choose(self, job: str) -> DiskMember | None:
-        """Choose the same one for all readers of a job."""
+        """Choose a disk, the same one for all readers of a job."""
         now = time.monotonic()
-        trusted = [
+        available = [
             name
             for name in self._holder.board.disks
-            if self._distrusted.get(name, 0) <= now
+            if self._avoid_until.get(name, 0) <= now
         ]
-        ranked = rank_by_key(trusted, job)
+        ranked = rank_by_key(available, job)
         return self._holder.board.disks[ranked[0]] if ranked else None
 
     def _count(self, outcome: str) -> None:
--- a/src/wigeonpier/hosted/readings.py
+++ b/src/wigeonpier/hosted/readings.py
@@ -1,8 +1,9 @@
-"""Reads the results of jobs for entries, so that they look only once.
+"""Serves the results of jobs to entries from one process per job.
 
-The calls of a job come to any entry.  Each of 58 entries that looked by itself
-called the store once a read: 3,287 of the 8,021 calls of a quiet day.  One
-process with a disk follows the job instead, and tells all of them.
+The calls of a job arrive at any entry.  When each of 58 entries read the store
+itself, one call per read, that made 3,287 of the 8,021 calls of a day with
+little load.  Now one process with a disk follows the job and answers all
+entries.
 """
 
 from __future__ import annotations
@@ -26,31 +27,32 @@
 READINGS_PATH = '/results/'
 AFTER = 'after'
 WAIT = 'wait'
-# What was read anywhere has to be readable everywhere a second later.
-HEARD_SECONDS = 0.5
+# A result that was read at any entry must be readable at all others one second
+# later.
+MAX_CONTACT_AGE_SECONDS = 0.5
 
 
-def name_target(job: str, after: int, wait: float) -> str:
-    """Name what an entry reads.
+def make_target(job: str, after: int, wait: float) -> str:
+    """Make the request target for reading results.
 
     :param job: id of the job.
     :param after: position of the first result wanted.
-    :param wait: longest wait for one, seconds.
+    :param wait: longest wait for a result, seconds.
     :returns: path with query.
     """
     return f'{READINGS_PATH}{job}?{urlencode({AFTER: after, WAIT: wait})}'
 
 
 class ReadingHandler:
-    """Answers entries that read results."""
+    """Handles the calls of entries that read results."""
 
     def __init__(self, jobs: FollowedJobs, contact: StoreContact) -> None:
-        """Answer from followed jobs, as long as the store is in contact."""
+        """Answer from followed jobs while the store is reachable."""
         self._jobs = jobs
         self._contact = contact
 
     def make_routes(self) -> list[Route]:
-        """List the paths for entries.
+        """List the routes that entries call.
 
         :returns: the routes.
         """
@@ -63,27 +65,27 @@
         view = self._jobs.find(name)
         self._jobs.await_news(view, after, wait)
         if len(view.results) <= after and not view.is_finished:
-            self._confirm()
+            self._check_contact()
         page = msgspec.json.encode(view.cut_page(after))
         return Response(HTTPStatus.OK, page, JSON_TYPE)
 
-    def _confirm(self) -> None:
-        """Make sure that nothing new is told by a process that hears nothing.
+    def _check_contact(self) -> None:
+        """Check that the store is reachable before reporting no new results.
 
-        A call that waits for results and one that was cut off look the same
-        for seconds.
+        For seconds, a call that waits for results cannot be distinguished from
+        one whose connection was lost.
         """
-        oldest = time.monotonic() - HEARD_SECONDS
-        if not self._contact.has_answered_since(oldest):
+        min_answered_at = time.monotonic() - MAX_CONTACT_AGE_SECONDS
+        if not self._contact.has_answered_since(min_answered_at):
             self._contact.ask()
-        if not self._contact.has_answered_since(oldest):
+        if not self._contact.has_answered_since(min_answered_at):
             raise refuse_unread()
 
 
 def _read_query(query: str) -> tuple[int, float]:
-    named = parse_qs(query)
+    fields = parse_qs(query)
     try:
-        return int(named[AFTER][0]), float(named[WAIT][0])
+        return int(fields[AFTER][0]), float(fields[WAIT][0])
     except (KeyError, ValueError) as error:
         raise Refusal(
             ErrorKind.invalid_request,
--- a/src/wigeonpier/hosted/results.py
+++ b/src/wigeonpier/hosted/results.py
@@ -1,4 +1,4 @@
-"""Writes results of items to the store until they stand there."""
+"""Writes results of items to the store, with retries until they are stored."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
     Key = tuple[str, int]
 
-# Results that end together are written together.
-GATHER_SECONDS = 0.03
-PAUSE_SECONDS = 0.2
-MOST_RESULTS = 16
-MOST_BYTES = 500_000
+# Results that arrive within this time are written together.
+BATCH_DELAY_SECONDS = 0.03
+RETRY_PAUSE_SECONDS = 0.2
+MAX_RESULTS_PER_WRITE = 16
+MAX_BYTES_PER_WRITE = 500_000
 
 
 class ResultWriter:
-    """Holds results that are not known to be kept yet."""
+    """Writes results, and keeps those that are not known to be stored yet."""
 
     def __init__(
         self,
@@ -38,68 +38,75 @@
     ) -> None:
         """Write to the ledger once started.
 
-        :param ledger: keeps the results.
-        :param wait: waits so many seconds, less where the store returns.
+        :param ledger: stores the results.
+        :param wait: waits the given seconds before a failed write is repeated;
+            while the store is lost, until it answers again.
         """
         self._ledger = ledger
         self._wait = wait
         self._pending: dict[Key, ItemResult] = {}
-        self._wanted = Signal()
+        self._has_pending = Signal()
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether every result is kept."""
+        """Check whether all results are stored."""
         return not self._pending
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start writing."""
         spawn_loop('results', self._step)
 
-    def add(self, key: Key, found: ItemResult) -> None:
-        """Write a result as soon as the store takes it.
+    def add(self, key: Key, result: ItemResult) -> None:
+        """Queue a result to be written to the store.
 
         :param key: job and position of the item.
-        :param found: its result.
+        :param result: its result.
         """
-        self._pending[key] = found
-        self._wanted.set()
+        self._pending[key] = result
+        self._has_pending.set()
 
     def _step(self) -> None:
-        self._wanted.wait()
-        gevent.sleep(GATHER_SECONDS)
+        self._has_pending.wait()
+        gevent.sleep(BATCH_DELAY_SECONDS)
         batch = self._take_batch()
         failure = self._write(batch)
         if failure is Failure.conflict and len(batch) > 1:
-            for key, found in batch.items():
-                self._write({key: found})
+            for key, result in batch.items():
+                self._write({key: result})
         elif failure is not None and failure is not Failure.conflict:
-            self._wait(PAUSE_SECONDS)
+            self._wait(RETRY_PAUSE_SECONDS)
         if not self._pending:
-            self._wanted.clear()
+            self._has_pending.clear()
 
     def _take_batch(self) -> dict[Key, ItemResult]:
         batch: dict[Key, ItemResult] = {}
         size = 0
-        for key, found in self._pending.items():
-            size += len(found.output)
-            if batch and (len(batch) >= MOST_RESULTS or size > MOST_BYTES):
+        for key, result in self._pending.items():
+            size += len(result.output)
+            if batch and (
+                len(batch) >= MAX_RESULTS_PER_WRITE
+                or size > MAX_BYTES_PER_WRITE
+            ):
                 break
-            batch[key] = found
+            batch[key] = result
         return batch
 
     def _write(self, batch: dict[Key, ItemResult]) -> Failure | None:
         written = self._ledger.write_results(batch)
         failure = written.err_value if isinstance(written, Err) else None
-        names = [found.name for found in batch.values()]
+        item_names = [result.name for result in batch.values()]
         if failure is not None and failure is not Failure.conflict:
-            log_event(Event.results_waiting, items=names, why=failure.value)
+            log_event(
+                Event.results_waiting, items=item_names, why=failure.value
+            )
             return failure
         if failure is None or len(batch) == 1:
-            # A conflict over one result says that it stands already, written
-            # by whoever ran the item too, or by a call whose answer was lost.
+            # A conflict over a single result means that it exists already,
+            # written by another process that ran the item, or by an earlier
+            # call whose answer was lost.
             log_event(
                 Event.results_written,
-                items=names,
+                items=item_names,
                 stood=failure is not None,
             )
             for key in batch:
--- a/src/wigeonpier/hosted/storage.py
+++ b/src/wigeonpier/hosted/storage.py
@@ -26,13 +26,13 @@
 class StorageApp:
     """The process on a VM with a disk.
 
-    It keeps accepted jobs and refused requests while the store is away, reads the results of jobs
-    for entries, hands the items of lost processes to others, removes old jobs,
-    and answers for its disk when it is to be emptied.
+    It keeps accepted jobs and refused requests during a store outage, serves
+    the results of jobs to entries, reassigns the items of lost processes,
+    removes old jobs, and empties its disk before the VM is retired.
     """
 
     def __init__(self, common: Common) -> None:
-        """Wire the process; nothing runs yet."""
+        """Create the components without starting them."""
         settings = common.settings
         ledger = JobLedger(common.store)
         self._common = common
@@ -80,7 +80,7 @@
         )
 
     def start(self) -> str:
-        """Listen, and follow the members and the operator's orders.
+        """Start listening, and follow the members and operator requests.
 
         :returns: address for entries.
         """
@@ -96,10 +96,10 @@
         return self._server.address
 
     def leave(self, seconds: float) -> int:
-        """Take no job any more; what is held stays on the disk.
+        """Accept no more jobs; jobs held so far stay on the disk.
 
-        :param seconds: longest time.
-        :returns: requests that are still in hand.
+        :param seconds: longest time to drain.
+        :returns: number of requests still in flight.
         """
         self._intake.is_closed = True
         self._disk.leave()
@@ -107,5 +107,5 @@
 
 
 def _is_never_held(_job: str) -> bool:
-    """Leave it to the entry, which knows what it had held."""
+    """Return false: the entry checks which jobs disks may hold."""
     return False
