--- a/src/wigeonpier/hosted/acceptance.py
+++ b/src/wigeonpier/hosted/acceptance.py
@@ -105,7 +105,7 @@
         self._holder = holder
         self._rng = rng
         # Tokens of jobs stored on disks since the board was last read.
-        self._held_tokens: Counter[tuple[str, str]] = Counter()
+        self._disk_tokens: Counter[tuple[str, str]] = Counter()
 
     def accept(self, job: SubmittedJob) -> AcceptOutcome:
         """Store a job.
@@ -141,7 +141,7 @@
             return read.err_value
         board = read.ok_value
         self._holder.record_board(board)
-        self._held_tokens.clear()
+        self._disk_tokens.clear()
         if job.name in board.jobs:
             return AcceptOutcome.stood
         if not self._has_room(board, job):
@@ -180,14 +180,14 @@
         waiting = _sum_tokens(self._holder.board, job)
         if not may_take_blindly(
             waiting,
-            self._held_tokens[job.account],
+            self._disk_tokens[job.account],
             job.tokens,
             job.route.most_tokens,
         ):
             return DiskWrite()
         disk_write = self._holder.hold(self._make_open_job(job), job.items)
         if disk_write.copies >= self._holder.copies_needed:
-            self._held_tokens[job.account] += job.tokens
+            self._disk_tokens[job.account] += job.tokens
         return disk_write
 
     def _make_open_job(self, job: SubmittedJob) -> OpenJob:
--- a/src/wigeonpier/hosted/assignments.py
+++ b/src/wigeonpier/hosted/assignments.py
@@ -57,7 +57,7 @@
         :param make_view: makes the view of the assignments.
         :param refresh_quarantine: rereads the refused requests from the store.
         :param wait: waits the given seconds before a failed read is repeated;
-            while the store is lost, until it answers again.
+            while the store is unreachable, until it answers again.
         """
         self._wait = wait
         self._clock = JobClock(time.time(), time.monotonic())
--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -149,9 +149,9 @@
 
     def _choose_after_wait(self, request: Question) -> UpstreamState | None:
         if self._is_suspected(request):
-            place = self.trials.find_late(request)
-            if place is not None:
-                return place
+            upstream = self.trials.find_late(request)
+            if upstream is not None:
+                return upstream
         return self.chooser.choose(request)
 
     def _is_suspected(self, request: Question) -> bool:
--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -33,7 +33,7 @@
 RETURN_SECONDS = 1.6
 # Spreads the attempts of several instances so that one of them does the work.
 MAX_JITTER_SECONDS = 0.5
-# Interval for retrying items that had no new owner or could not be moved.
+# Interval for retrying items that had no new owner or were not reassigned.
 SWEEP_SECONDS = 4.0
 # Calls to the store are billed; a scan is needed only while jobs are open.
 RETRY_SECONDS = 0.4
@@ -59,7 +59,7 @@
     def start(self) -> None:
         """Start watching."""
         self._view.start()
-        spawn_loop('sweep', self._sweep)
+        spawn_loop('sweep', self._scan)
 
     def _apply(self, change: Change) -> None:
         name = change.key.removeprefix(places.MEMBERS)
@@ -75,7 +75,7 @@
                 RETURN_SECONDS + jitter, self._reassign_items, name
             )
 
-    def _sweep(self) -> None:
+    def _scan(self) -> None:
         """Find items of lost owners whose removal was not seen."""
         gevent.sleep(SWEEP_SECONDS * self._rng.uniform(1, 2))
         if not self._view.is_complete or self._contact.is_lost:
--- a/src/wigeonpier/hosted/holder.py
+++ b/src/wigeonpier/hosted/holder.py
@@ -33,7 +33,7 @@
 BOARD_REFRESH_SECONDS = 20.0
 BOARD_CHECK_SECONDS = 1.0
 # The disks write their jobs to the store within seconds of its recovery.
-ASSUME_HELD_SECONDS = 20.0
+ASSUME_ON_DISK_SECONDS = 20.0
 
 
 class CopyState(StrEnum):
@@ -69,10 +69,10 @@
     :param pool: connections to the disks.
     :param board: the board as last read.
     :param read_at: when it was read, seconds of the monotonic clock.
-    :param held: when each job was stored on disks, by id, likewise.
+    :param stored_at: when each job was stored on disks, by id, likewise.
     :param on_board: called with each board that was read.
-    :param wait: waits the given seconds; while the store is lost, until it
-        answers again.
+    :param wait: waits the given seconds; while the store is unreachable, until
+        it answers again.
     """
 
     settings: HostSettings
@@ -80,7 +80,7 @@
     pool: ConnectionPool
     board: Board = field(default_factory=Board)
     read_at: float = 0
-    held: dict[str, float] = field(default_factory=dict)
+    stored_at: dict[str, float] = field(default_factory=dict)
     on_board: Callable[[Board], object] = _ignore_board
     wait: Callable[[float], object] = gevent.sleep
 
@@ -108,10 +108,10 @@
         :param name: id of the job.
         :returns: true for a limited time after the job was stored on disks.
         """
-        held_at = self.held.get(name)
+        moment = self.stored_at.get(name)
         return (
-            held_at is not None
-            and time.monotonic() - held_at < ASSUME_HELD_SECONDS
+            moment is not None
+            and time.monotonic() - moment < ASSUME_ON_DISK_SECONDS
         )
 
     def hold(self, job: OpenJob, items: list[JobItem]) -> DiskWrite:
@@ -136,17 +136,17 @@
             may_be_kept=set(copies) != {CopyState.not_kept},
         )
         if disk_write.copies >= self.copies_needed:
-            self._record_held(job.name)
+            self._record_stored(job.name)
         return disk_write
 
-    def _record_held(self, name: str) -> None:
+    def _record_stored(self, name: str) -> None:
         now = time.monotonic()
-        self.held = {
-            other: held_at
-            for other, held_at in self.held.items()
-            if now - held_at < ASSUME_HELD_SECONDS
+        self.stored_at = {
+            other: moment
+            for other, moment in self.stored_at.items()
+            if now - moment < ASSUME_ON_DISK_SECONDS
         }
-        self.held[name] = now
+        self.stored_at[name] = now
 
     def _send(self, disk: DiskMember, name: str, body: bytes) -> CopyState:
         headers = [('Host', disk.address)]
--- a/src/wigeonpier/hosted/intake.py
+++ b/src/wigeonpier/hosted/intake.py
@@ -57,14 +57,14 @@
         self._root.mkdir(parents=True, exist_ok=True)
         self._ledger = ledger
         self._rng = rng
-        self._held = {path.name for path in self._root.iterdir()}
+        self._job_names = {path.name for path in self._root.iterdir()}
         self._has_work = Signal()
         self._has_work.set()
 
     @property
     def is_empty(self) -> bool:
         """Check whether all jobs have been written to the store."""
-        return not self._held
+        return not self._job_names
 
     def start(self) -> None:
         """Start writing jobs to the store."""
@@ -86,7 +86,7 @@
             call_in_thread(write_whole, self._root / name, raw)
         except OSError as error:
             self._raise_write_error(name, error)
-        self._held.add(name)
+        self._job_names.add(name)
         self._has_work.set()
         log_event(Event.job_held, job=name, size=len(raw))
         return Response(HTTPStatus.OK, b'{}')
@@ -99,24 +99,24 @@
         not promise that there is no copy.
         """
         log_event(Event.job_unheld, job=name, why=str(error))
-        if name in self._held or (self._root / name).exists():
+        if name in self._job_names or (self._root / name).exists():
             raise error
         raise Refusal(ErrorKind.storage_down, str(error)) from error
 
     def _step(self) -> None:
         self._has_work.wait()
         gevent.sleep(self._rng.uniform(0, MAX_JITTER_SECONDS))
-        for name in sorted(self._held):
+        for name in sorted(self._job_names):
             if not self._write_to_store(name):
                 gevent.sleep(RETRY_PAUSE_SECONDS)
                 return
-        if not self._held:
+        if not self._job_names:
             self._has_work.clear()
 
     def _write_to_store(self, name: str) -> bool:
         path = self._root / name
         try:
-            held = msgspec.json.decode(path.read_bytes(), type=HeldJob)
+            disk_job = msgspec.json.decode(path.read_bytes(), type=HeldJob)
         except (OSError, msgspec.DecodeError) as error:
             # A write interrupted by a power loss was never confirmed.
             log_event(Event.job_unreadable, job=name, why=str(error))
@@ -128,14 +128,14 @@
         board = read.ok_value
         owners = deal_items(
             name,
-            len(held.items),
-            board.list_members(held.job.service),
+            len(disk_job.items),
+            board.list_members(disk_job.job.service),
             list(board.jobs.values()),
             time.time(),
         )
         created = self._ledger.create(
-            replace(held.job, owners=owners),
-            list(held.items),
+            replace(disk_job.job, owners=owners),
+            list(disk_job.items),
         )
         is_stored = isinstance(created, Ok) or created == Err(Failure.conflict)
         if is_stored:
@@ -149,4 +149,4 @@
 
     def _remove_copy(self, path: Path) -> None:
         path.unlink(missing_ok=True)
-        self._held.discard(path.name)
+        self._job_names.discard(path.name)
--- a/src/wigeonpier/hosted/janitor.py
+++ b/src/wigeonpier/hosted/janitor.py
@@ -34,7 +34,7 @@
     ) -> None:
         """Remove jobs after a multiple of the readable time, in seconds."""
         self._ledger = ledger
-        self._keep_seconds = readable_seconds * RETENTION_FACTOR
+        self._retention_seconds = readable_seconds * RETENTION_FACTOR
         self._rng = rng
         # When each job was first seen, seconds of the monotonic clock.  With
         # the wall clock, a VM whose clock is ahead would remove open jobs.
@@ -56,7 +56,7 @@
             job: self._first_seen.get(job, now) for job in read.ok_value
         }
         for job, seen_at in self._first_seen.items():
-            if now - seen_at > self._keep_seconds:
+            if now - seen_at > self._retention_seconds:
                 removed = self._ledger.remove(job)
                 log_event(
                     Event.job_removed,
--- a/src/wigeonpier/hosted/results.py
+++ b/src/wigeonpier/hosted/results.py
@@ -40,7 +40,7 @@
 
         :param ledger: stores the results.
         :param wait: waits the given seconds before a failed write is repeated;
-            while the store is lost, until it answers again.
+            while the store is unreachable, until it answers again.
         """
         self._ledger = ledger
         self._wait = wait
@@ -68,7 +68,7 @@
     def _step(self) -> None:
         self._has_pending.wait()
         gevent.sleep(BATCH_DELAY_SECONDS)
-        batch = self._take_batch()
+        batch = self._make_batch()
         failure = self._write(batch)
         if failure is Failure.conflict and len(batch) > 1:
             for key, result in batch.items():
@@ -78,7 +78,7 @@
         if not self._pending:
             self._has_pending.clear()
 
-    def _take_batch(self) -> dict[Key, ItemResult]:
+    def _make_batch(self) -> dict[Key, ItemResult]:
         batch: dict[Key, ItemResult] = {}
         size = 0
         for key, result in self._pending.items():
--- a/src/wigeonpier/hosted/storage.py
+++ b/src/wigeonpier/hosted/storage.py
@@ -67,7 +67,7 @@
             common.view,
         )
         readings = ReadingHandler(
-            FollowedJobs(JobViews(ledger, _is_never_held), common.contact),
+            FollowedJobs(JobViews(ledger, _is_never_on_disk), common.contact),
             common.contact,
         )
         self._server = Server(
@@ -96,7 +96,7 @@
         return self._server.address
 
     def leave(self, seconds: float) -> int:
-        """Accept no more jobs; jobs held so far stay on the disk.
+        """Accept no more jobs; those accepted so far stay on the disk.
 
         :param seconds: longest time to drain.
         :returns: number of requests still in flight.
@@ -106,6 +106,6 @@
         return self._server.drain(seconds)
 
 
-def _is_never_held(_job: str) -> bool:
+def _is_never_on_disk(_job: str) -> bool:
     """Return false: the entry checks which jobs disks may hold."""
     return False
--- a/tests/hosted/test_reader.py
+++ b/tests/hosted/test_reader.py
@@ -105,7 +105,7 @@
 def build_followed_jobs(
     ledger: StandInLedger, *, has_kept: bool = True
 ) -> FollowedJobs:
-    """Build followed jobs; ``has_kept`` is false after a loss of the store."""
+    """Build followed jobs; ``has_kept`` is false after a store outage."""
     contact = SimpleNamespace(has_kept_since=lambda _moment: has_kept)
     return FollowedJobs(JobViews(ledger, lambda _name: False), contact)
 
