--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -25,7 +25,7 @@
 from wigeonpier.hosted.proofs import ToldProofs
 from wigeonpier.hosted.quarantine.publisher import QuarantinePublisher
 from wigeonpier.hosted.quarantine.store import QuarantineStore
-from wigeonpier.hosted.questions import ELSEWHERE_SECONDS, QuestionHandler
+from wigeonpier.hosted.questions import RETRY_ELSEWHERE_SECONDS, QuestionHandler
 from wigeonpier.hosted.reach import Reach
 from wigeonpier.hosted.reader import JobReader
 from wigeonpier.hosted.relay import Relays
@@ -295,7 +295,7 @@
             raise Refusal(
                 ErrorKind.leaving,
                 'this entry is leaving',
-                retry_seconds=ELSEWHERE_SECONDS,
+                retry_seconds=RETRY_ELSEWHERE_SECONDS,
             )
 
     def _check_reach(self) -> None:
@@ -304,7 +304,7 @@
             raise Refusal(
                 ErrorKind.no_upstream,
                 'this entry is cut off',
-                retry_seconds=ELSEWHERE_SECONDS,
+                retry_seconds=RETRY_ELSEWHERE_SECONDS,
             )
 
     def _dispatch(self, request: Request) -> Response:
--- a/src/wigeonpier/hosted/failures.py
+++ b/src/wigeonpier/hosted/failures.py
@@ -1,4 +1,4 @@
-"""How sends of questions fail."""
+"""Names the ways in which sending a request to an upstream fails."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class SendFailure(StrEnum):
-    """Why a send gave no answer that may be passed on."""
+    """Why a send produced no response that may be forwarded.
+
+    The values appear in logs and in error responses.
+    """
 
     no_upstream = 'no upstream takes it'
     no_time = 'no time is left'
@@ -28,27 +31,30 @@
 
 
 class QueueLeftError(Exception):
-    """The question goes on elsewhere before its limit of silence."""
+    """The request leaves an upstream's queue before its read times out."""
+
+    def __init__(self, reason: SendFailure) -> None:
+        """Create the error.
 
-    def __init__(self, why: SendFailure) -> None:
-        """Say why."""
-        super().__init__(why.value)
-        self.why = why
+        :param reason: why the request leaves.
+        """
+        super().__init__(reason.value)
+        self.reason = reason
 
 
-# After these the upstream itself may have ended.
-BREAKS = frozenset((SendFailure.lost, SendFailure.no_connection))
-# What says nothing against the upstream.
-NO_FAULT = frozenset(
+# Failures after which the upstream process itself may have crashed.
+DISCONNECTS = frozenset((SendFailure.lost, SendFailure.no_connection))
+# Failures that do not count against the upstream's health.
+HEALTH_NEUTRAL = frozenset(
     (SendFailure.turned_away, SendFailure.queued, SendFailure.late),
 )
 
 
-def name_break(error: OSError) -> SendFailure:
-    """Name how a connection broke.
+def classify_disconnect(error: OSError) -> SendFailure:
+    """Classify an error that was raised while reading from an upstream.
 
-    :param error: what reading it raised.
-    :returns: silent where no byte came in time.
+    :param error: the error.
+    :returns: ``silent`` for a time-out, ``lost`` for any other error.
     """
     if isinstance(error, TimeoutError):
         return SendFailure.silent
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -1,4 +1,4 @@
-"""One question of a caller on its way."""
+"""Holds the state of one online request while the entry processes it."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 @dataclass(slots=True)
 class SendRecord:
-    """One send, for the log: what decided it and how it ended.
-
-    :param upstream: where it went.
-    :param in_hand: requests that this entry had there.
-    :param reported: load that the upstream had told last.
-    :param report_age: how old that was, seconds.
-    :param at: when it was sent, seconds after the question came.
-    :param company: what suspected requests it bore beside it, empty where it
-        was not suspected itself.
+    """One send as it is logged: the data it was based on and its outcome.
+
+    :param upstream: name of the upstream.
+    :param in_hand: requests that this entry had in flight there.
+    :param reported: load that the upstream had last reported.
+    :param report_age: age of that report, seconds.
+    :param at: when it was sent, seconds after the request was received.
+    :param company: which other suspected requests were allowed at the
+        upstream, empty if the request was not suspected itself.
     :param outcome: how it ended.
-    :param instance: id of another instance that answered in its place.
-    :param had_output: whether events of this send arrived.
+    :param instance: id of the instance that responded instead of the upstream.
+    :param had_output: whether any event of its response arrived.
     """
 
     upstream: str
@@ -52,30 +52,33 @@
 
 @dataclass(slots=True)
 class Question:
-    """One attempt of a caller.
+    """One online request, from its arrival to the end of its response.
 
-    :param request: as it came.
-    :param head: what its headers say.
+    :param request: the HTTP request.
+    :param head: its parsed headers.
     :param route: its route.
-    :param service: service that was drawn.
-    :param body: its bytes.
-    :param began_at: when it was read, seconds of the steady clock.
-    :param give_up_at: deadline or timeout, whichever is sooner.
-    :param resume_after: last event that the caller has, or empty.
-    :param tried: upstreams that got it.
+    :param service: service that was drawn for it.
+    :param body: its body.
+    :param began_at: when it was received, seconds of the monotonic clock.
+    :param give_up_at: the caller's deadline or the route's time-out, whichever
+        is earlier, seconds of the monotonic clock.
+    :param resume_after: id of the last event that the caller has, or empty.
+    :param tried: names of the upstreams that it was sent to.
     :param runs: sends that may have run.
-    :param upstream: where it is now.
-    :param following: where it goes next, ``None`` where that is not chosen.
-    :param company: what suspected requests it bears beside it where it goes
-        next, empty where it is not suspected itself.
-    :param answer: the answer that is read now.
-    :param sends: what was sent where, for the log.
-    :param asks: how often a slot was asked for.
-    :param first_event_at: when the first event was passed on, 0 before.
-    :param is_gone: whether the caller has left.
-    :param is_spent: whether nobody may run it before more is known of it.
-    :param priority: rank among those that wait, 0 is the highest.
-    :param watcher: watches the caller's connection.
+    :param upstream: upstream that processes it now.
+    :param next_upstream: upstream chosen for the next send, if any.
+    :param company: which other suspected requests are allowed at the next
+        upstream, empty if the request is not suspected itself.
+    :param exchange: exchange with the current upstream.
+    :param sends: its sends, for the log.
+    :param asks: number of slot reservations requested for it.
+    :param first_event_at: when the first event was forwarded, seconds of the
+        monotonic clock; 0 before.
+    :param is_gone: whether the caller has disconnected.
+    :param is_retry_blocked: whether it may not run again until the cause of
+        its last failure is known.
+    :param priority: rank among waiting requests, 0 is the highest.
+    :param watcher: detects that the caller closes its connection.
     """
 
     request: Request
@@ -89,21 +92,21 @@
     tried: set[str] = field(default_factory=set)
     runs: int = 0
     upstream: UpstreamState | None = None
-    following: UpstreamState | None = None
+    next_upstream: UpstreamState | None = None
     company: str = ''
-    answer: Exchange | None = None
+    exchange: Exchange | None = None
     sends: list[SendRecord] = field(default_factory=list)
     asks: int = 0
     first_event_at: float = 0
     is_gone: bool = False
-    is_spent: bool = False
+    is_retry_blocked: bool = False
     priority: int = 0
     watcher: gevent.Greenlet[..., None] | None = None
     _fingerprint: str = ''
 
     @property
     def fingerprint(self) -> str:
-        """Name it by its content, which its repeats share."""
+        """Give a digest of the content, which is the same for its repeats."""
         if not self._fingerprint:
             self._fingerprint = digest_request(
                 self.head.host,
@@ -116,35 +119,35 @@
 
     @property
     def seconds_left(self) -> float:
-        """Give the time until it is given up."""
+        """Give the time left until ``give_up_at``, in seconds."""
         return self.give_up_at - time.monotonic()
 
     @property
-    def is_last_run(self) -> bool:
-        """Tell whether no upstream may run it after the next one."""
+    def is_last_attempt(self) -> bool:
+        """Tell whether the next run is the last one that is allowed."""
         return not self.route.is_idempotent or self.runs + 1 >= self.route.tries
 
     @property
     def may_run_again(self) -> bool:
         """Tell whether one more upstream may run it."""
-        if self.is_spent:
+        if self.is_retry_blocked:
             return False
         if self.runs == 0:
             return True
         return self.route.is_idempotent and self.runs < self.route.tries
 
     def count_losses(self) -> int:
-        """Count the sends of this attempt that were lost.
+        """Count the sends whose connection was lost.
 
-        :returns: sends that may have run, and gave no answer.
+        :returns: sends that may have run and got no response.
         """
         lost = SendFailure.lost.value
         return sum(send.outcome == lost for send in self.sends)
 
     def limit_silence(self, *, has_events: bool) -> float:
-        """Limit how long the next byte of its answer is waited for.
+        """Limit how long the next byte of the response is waited for.
 
-        :param has_events: whether an event of this send has arrived.
+        :param has_events: whether an event of the current send has arrived.
         :returns: seconds.
         """
         return limit_silence(
@@ -154,20 +157,20 @@
         )
 
     def measure_wait(self, now: float) -> Waited:
-        """Measure how long it has waited.
+        """Measure how long the request has waited.
 
-        :param now: seconds of the steady clock.
-        :returns: shares of its objective.
+        :param now: seconds of the monotonic clock.
+        :returns: waiting times as shares of the route's latency objective.
         """
-        altogether = now - self.began_at
-        here = altogether - self.sends[-1].at
+        total = now - self.began_at
+        here = total - self.sends[-1].at
         objective = self.route.objective
-        return Waited(altogether / objective, here / objective)
+        return Waited(total / objective, here / objective)
 
     def note_send(self, upstream: UpstreamState) -> None:
-        """Record that it is sent.
+        """Record that the request is sent.
 
-        :param upstream: where to.
+        :param upstream: the upstream that it is sent to.
         """
         now = time.monotonic()
         self.tried.add(upstream.name)
@@ -183,33 +186,34 @@
             ),
         )
 
-    def hold(self, upstream: UpstreamState, answer: Exchange) -> None:
-        """Note where it is now, and that it may run there.
+    def hold(self, upstream: UpstreamState, exchange: Exchange) -> None:
+        """Record that the request may run at an upstream from now on.
 
         :param upstream: the upstream.
-        :param answer: the answer that is read.
+        :param exchange: the exchange with it.
         """
         upstream.in_hand += 1
         self.runs += 1
         self.upstream = upstream
-        self.answer = answer
+        self.exchange = exchange
 
     def release(self, *, is_broken: bool = False) -> None:
-        """Let go of the upstream and of the connection to it.
+        """Release the current upstream and the connection to it.
 
-        :param is_broken: whether the upstream's work must end now.
+        :param is_broken: whether to abort the connection, which cancels the
+            request at the upstream.
         """
         if self.upstream is not None:
             self.upstream.in_hand -= 1
             self.upstream = None
-        if self.answer is not None:
-            if is_broken or not self.answer.is_whole:
-                self.answer.abort()
-            self.answer.close()
-            self.answer = None
+        if self.exchange is not None:
+            if is_broken or not self.exchange.is_whole:
+                self.exchange.abort()
+            self.exchange.close()
+            self.exchange = None
 
     def leave(self) -> None:
-        """Stop the upstream's work, since the caller has left."""
+        """Cancel the request at the upstream after the caller disconnected."""
         self.is_gone = True
-        if self.answer is not None:
-            self.answer.abort()
+        if self.exchange is not None:
+            self.exchange.abort()
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -1,4 +1,4 @@
-"""Questions of callers: received, answered, streamed, resumed elsewhere."""
+"""Answers online requests, and resumes interrupted streams elsewhere."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wigeonpier.hosted.events import EventReader
 from wigeonpier.hosted.failures import (
     SendFailure,
-    name_break,
+    classify_disconnect,
 )
 from wigeonpier.hosted.question import Question
 from wigeonpier.platform import ingress
@@ -38,24 +38,27 @@
     from wigeonpier.telemetry.metrics import Metrics
     from wigeonpier.web.exchange import Exchange
 
-# By then one of the answers that run has ended and left its slot.
+# Time after which one of the running requests has freed its slot.
 RETRY_AFTER_SECONDS = 0.3
-# Another entry takes the request at once.
-ELSEWHERE_SECONDS = 0.05
-# For callers that do not say how long they wait.
-LONGEST_SECONDS = 60.0
-LEAST_SECONDS = 0.01
-# Samples ordinary answers in the log; failures, late answers and retries are
-# always logged.
-TOLD_ONE_IN = 16
+# For requests that another entry or upstream can serve at once.
+RETRY_ELSEWHERE_SECONDS = 0.05
+# For callers that state no deadline.
+DEFAULT_TIMEOUT_SECONDS = 60.0
+MIN_READ_TIMEOUT_SECONDS = 0.01
+# One in so many ordinary requests is logged; failures, late responses and
+# retries always are.
+LOG_ONE_IN = 16
 
 
 class BrokenStreamError(BrokenPipeError):
-    """A stream cannot go on; the caller must see that it is not whole."""
+    """A stream cannot be continued.
+
+    It closes the connection, so that the caller sees a truncated response.
+    """
 
 
 class QuestionHandler:
-    """Answers questions of callers."""
+    """Answers the online requests of callers."""
 
     def __init__(
         self,
@@ -65,7 +68,14 @@
         draw: random.Random,
         use: CustomerUse,
     ) -> None:
-        """Use the configuration in force and the upstreams in reach."""
+        """Create the handler.
+
+        :param configuration: current configuration.
+        :param sender: sends requests to upstreams.
+        :param metrics: metrics of this process.
+        :param draw: source of randomness.
+        :param use: admits requests within the customers' limits.
+        """
         self._use = use
         self._configuration = configuration
         self._sender = sender
@@ -73,11 +83,11 @@
         self._draw = draw
 
     def answer(self, arrival: Arrival) -> Response:
-        """Answer one question.
+        """Answer one request.
 
-        :param arrival: the caller's, with its route.
-        :returns: the upstream's answer.
-        :raises Refusal: where it gets none.
+        :param arrival: the request with its route and customer.
+        :returns: the upstream's response.
+        :raises Refusal: when no upstream responds or the limit is reached.
         """
         question = self._make_question(arrival)
         if arrival.customer is not None:
@@ -97,7 +107,7 @@
     def _make_question(self, arrival: Arrival) -> Question:
         now = time.monotonic()
         route = arrival.route
-        wanted = arrival.head.seconds or LONGEST_SECONDS
+        timeout = arrival.head.seconds or DEFAULT_TIMEOUT_SECONDS
         return Question(
             request=arrival.request,
             head=arrival.head,
@@ -105,7 +115,7 @@
             service=draw_service(route, self._draw),
             body=arrival.request.read_body(),
             began_at=now,
-            give_up_at=now + min(wanted, route.timeout),
+            give_up_at=now + min(timeout, route.timeout),
             resume_after=arrival.head.resume_after,
             priority=arrival.priority,
         )
@@ -114,45 +124,55 @@
         sent = self._sender.send(question)
         if isinstance(sent, Err):
             raise self._refuse(question, sent.err_value)
-        answer = sent.ok_value
-        headers = dict(answer.list_headers())
-        kind = headers.pop('Content-Type', headers.pop('content-type', ''))
+        exchange = sent.ok_value
+        headers = dict(exchange.list_headers())
+        content_type = headers.pop(
+            'Content-Type',
+            headers.pop('content-type', ''),
+        )
         body: bytes | Iterator[bytes]
-        if ingress.is_success(answer) and kind.startswith(EVENT_STREAM_TYPE):
+        if ingress.is_success(exchange) and content_type.startswith(
+            EVENT_STREAM_TYPE,
+        ):
             body = self._stream(question)
         else:
-            body = self._read_whole(question, answer)
-        response = Response(answer.status, body, kind, headers)
+            body = self._read_body(question, exchange)
+        response = Response(exchange.status, body, content_type, headers)
         response.on_close.append(lambda: self._finish(question, 'answered'))
         return response
 
-    def _read_whole(self, question: Question, answer: Exchange) -> bytes:
-        upstream, _answer = _get_holder(question)
+    def _read_body(self, question: Question, exchange: Exchange) -> bytes:
+        upstream, _exchange = _get_current(question)
         try:
-            body = answer.read(max(question.seconds_left, LEAST_SECONDS))
+            body = exchange.read(
+                max(question.seconds_left, MIN_READ_TIMEOUT_SECONDS),
+            )
         except OSError as error:
-            why = name_break(error)
+            failure = classify_disconnect(error)
             question.release(is_broken=True)
-            self._sender.note_failure(question, upstream, why)
+            self._sender.note_failure(question, upstream, failure)
             raise Refusal(ErrorKind.upstream_lost, str(error)) from error
-        self._sender.binder.suspects.note_whole(question, upstream)
+        self._sender.binder.suspects.note_completed(question, upstream)
         return body
 
     def _stream(self, question: Question) -> Iterator[bytes]:
-        """Pass events on as they come, from as many upstreams as needed."""
+        """Forward events, resuming at another upstream after a failure."""
         while True:
-            broken = yield from self._pass_on(question)
-            if broken is None:
+            failure = yield from self._forward_events(question)
+            if failure is None:
                 return
-            self._go_elsewhere(question, broken)
+            self._resume_elsewhere(question, failure)
 
-    def _pass_on(
+    def _forward_events(
         self,
         question: Question,
     ) -> Generator[bytes, None, SendFailure | None]:
-        """Pass the events of one upstream on; give why it broke off."""
-        upstream, answer = _get_holder(question)
-        reader = EventReader(answer)
+        """Forward the events of one upstream.
+
+        :returns: why the stream broke off, ``None`` if it is complete.
+        """
+        upstream, exchange = _get_current(question)
+        reader = EventReader(exchange)
         has_events = False
         while True:
             try:
@@ -160,10 +180,10 @@
                     question.limit_silence(has_events=has_events),
                 )
             except OSError as error:
-                return name_break(error)
+                return classify_disconnect(error)
             if event is None:
                 note_outcome(upstream, went_well=True, now=time.monotonic())
-                self._sender.binder.suspects.note_whole(question, upstream)
+                self._sender.binder.suspects.note_completed(question, upstream)
                 return None
             question.resume_after = event.identity or question.resume_after
             has_events = True
@@ -173,27 +193,32 @@
             )
             yield event.raw
 
-    def _go_elsewhere(self, question: Question, why: SendFailure) -> None:
-        upstream, _answer = _get_holder(question)
+    def _resume_elsewhere(
+        self,
+        question: Question,
+        failure: SendFailure,
+    ) -> None:
+        upstream, _exchange = _get_current(question)
         question.release(is_broken=True)
-        self._sender.note_failure(question, upstream, why)
+        self._sender.note_failure(question, upstream, failure)
         sent = self._sender.send(question)
         if isinstance(sent, Err) and not question.first_event_at:
-            # No byte has been sent, so that a refusal is still possible.
+            # No byte of the response has been sent, so an error response is
+            # still possible.
             raise self._refuse(question, sent.err_value)
         if isinstance(sent, Err) or not ingress.is_success(sent.ok_value):
-            raise BrokenStreamError(f'the stream cannot go on: {why.value}')
+            raise BrokenStreamError(f'cannot resume stream: {failure.value}')
         log_event(
             Event.stream_resumed,
             request=question.head.identity,
-            upstream=_get_holder(question)[0].name,
+            upstream=_get_current(question)[0].name,
             after=question.resume_after,
         )
 
-    def _refuse(self, question: Question, why: SendFailure) -> Refusal:
-        if why is SendFailure.condemned:
+    def _refuse(self, question: Question, failure: SendFailure) -> Refusal:
+        if failure is SendFailure.condemned:
             self._sender.binder.suspects.note_refusal(question)
-        return _refuse(question, why)
+        return _make_refusal(question, failure)
 
     def _finish(self, question: Question, outcome: str) -> None:
         if question.watcher is not None:
@@ -222,45 +247,52 @@
 
 
 def _is_logged(question: Question, outcome: str) -> bool:
-    """Tell whether the log gets a line; one of many ordinary ones does."""
+    """Tell whether to log a finished request; ordinary ones are sampled."""
     if outcome != 'answered' or len(question.sends) > 1:
         return True
-    first = question.first_event_at - question.began_at
-    if first > question.route.objective:
+    latency = question.first_event_at - question.began_at
+    if latency > question.route.objective:
         return True
     digest = xxhash.xxh3_64_intdigest(question.head.identity.encode())
-    return digest % TOLD_ONE_IN == 0
+    return digest % LOG_ONE_IN == 0
 
 
-def _get_holder(question: Question) -> tuple[UpstreamState, Exchange]:
-    if question.upstream is None or question.answer is None:
-        raise BrokenStreamError('no upstream has the question')
-    return question.upstream, question.answer
+def _get_current(question: Question) -> tuple[UpstreamState, Exchange]:
+    if question.upstream is None or question.exchange is None:
+        raise BrokenStreamError('no upstream is processing the request')
+    return question.upstream, question.exchange
 
 
-def _refuse(question: Question, why: SendFailure) -> Refusal:
-    """Say what is known; only what certainly did not run is said not to."""
-    if why is SendFailure.condemned:
+def _make_refusal(question: Question, failure: SendFailure) -> Refusal:
+    """Make the error response for a request that could not be answered.
+
+    It states that the request did not run only where that is certain.
+    """
+    if failure is SendFailure.condemned:
         return Refusal(
             ErrorKind.ends_upstreams,
-            why.value,
+            failure.value,
             ran=Ran.unknown if question.runs else Ran.no,
         )
     if not question.runs:
-        is_cut_off = why is SendFailure.cut_off
+        is_cut_off = failure is SendFailure.cut_off
         return Refusal(
             ErrorKind.overloaded,
-            why.value,
-            retry_seconds=ELSEWHERE_SECONDS
+            failure.value,
+            retry_seconds=RETRY_ELSEWHERE_SECONDS
             if is_cut_off
             else RETRY_AFTER_SECONDS,
         )
     if question.seconds_left <= 0:
-        return Refusal(ErrorKind.deadline_passed, why.value, ran=Ran.unknown)
-    # Another upstream is free of what befell the one that was lost.
+        return Refusal(
+            ErrorKind.deadline_passed,
+            failure.value,
+            ran=Ran.unknown,
+        )
+    # Other upstreams are not affected, so a retry may come at once.
     return Refusal(
         ErrorKind.upstream_lost,
-        why.value,
+        failure.value,
         ran=Ran.unknown,
-        retry_seconds=ELSEWHERE_SECONDS,
+        retry_seconds=RETRY_ELSEWHERE_SECONDS,
     )
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -1,4 +1,4 @@
-"""Sends questions to upstreams and judges the head of each answer."""
+"""Sends requests to upstreams and checks the head of each response."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from result import Err, Ok, Result
 
 from wigeonpier.hosted.failures import (
-    BREAKS,
-    NO_FAULT,
+    DISCONNECTS,
+    HEALTH_NEUTRAL,
     CallerGoneError,
     QueueLeftError,
     SendFailure,
-    name_break,
+    classify_disconnect,
 )
 from wigeonpier.hosted.reserver import Answer
 from wigeonpier.platform import ingress, register
@@ -34,44 +34,46 @@
     from wigeonpier.web.exchange import Exchange
     from wigeonpier.web.pool import ConnectionPool
 
-# Sends that were turned away unrun cost a few ms each; more than these say
-# that the service is full.
-MOST_SENDS = 4
-# An upstream may drop idle connections without notice, and what is sent on one
-# is lost.  Where that could not be sent again, only a connection is used that
-# rested for less than any upstream has been seen to allow.
-LAST_RUN_REST_SECONDS = 0.15
+# A send that is rejected before it runs costs a few ms; as many rejections
+# show that the service is full.
+MAX_SENDS = 4
+# An upstream may close an idle connection without notice, and a request sent
+# on it is lost.  A request that may not be retried therefore uses only
+# connections idle for less than the shortest idle time-out observed at an
+# upstream.
+LAST_ATTEMPT_MAX_IDLE_SECONDS = 0.15
 
 
 @dataclass(slots=True)
 class QuestionSender:
-    """Sends questions to the upstreams that are chosen for them.
+    """Sends requests to upstreams.
 
     :param binder: chooses the upstreams.
-    :param pool: connections to them.
+    :param pool: connections to the upstreams.
     """
 
     binder: SlotBinder
     pool: ConnectionPool
 
     def send(self, question: Question) -> Result[Exchange, SendFailure]:
-        """Send a question until an upstream answers it, or may have run it.
+        """Send a request, retrying until an upstream responds.
 
-        :param question: the question; it holds the upstream that answered.
-        :returns: the answer, with its head read.
-        :raises CallerGoneError: when the caller has left.
+        :param question: the request; the upstream that responded is set on it.
+        :returns: the exchange with its response head read, or the last failure
+            once the request may not be sent again.
+        :raises CallerGoneError: when the caller has disconnected.
         """
         outcome: Result[Exchange, SendFailure] = Err(SendFailure.no_upstream)
-        while len(question.tried) < MOST_SENDS and question.may_run_again:
-            found = self._find_next(question)
-            if isinstance(found, Err):
-                # Why there is nobody left is what the last one answered.
-                is_nobody = found.err_value is SendFailure.no_upstream
-                return outcome if is_nobody else found
-            outcome = self._send_once(question, found.ok_value)
+        while len(question.tried) < MAX_SENDS and question.may_run_again:
+            chosen = self._choose_next(question)
+            if isinstance(chosen, Err):
+                # Once all upstreams were tried, the last failure is the reason.
+                is_exhausted = chosen.err_value is SendFailure.no_upstream
+                return outcome if is_exhausted else chosen
+            outcome = self._send_once(question, chosen.ok_value)
             if isinstance(outcome, Ok):
                 break
-            self._go_on(question, found.ok_value, outcome.err_value)
+            self._handle_failure(question, chosen.ok_value, outcome.err_value)
         if isinstance(outcome, Err) and self.binder.is_refused(question):
             return Err(SendFailure.condemned)
         return outcome
@@ -80,32 +82,40 @@
         self,
         question: Question,
         upstream: UpstreamState,
-        why: SendFailure,
+        failure: SendFailure,
     ) -> None:
-        """Learn from a send that failed.
+        """Record a failed send for health checks, crash tracking and the log.
 
-        :param question: what was sent.
-        :param upstream: where to.
-        :param why: what went wrong.
-        :raises CallerGoneError: when it went wrong because the caller left.
+        :param question: the request that was sent.
+        :param upstream: the upstream that it was sent to.
+        :param failure: what went wrong.
+        :raises CallerGoneError: when the caller has disconnected, which makes
+            the send fail as well.
         """
         if question.is_gone:
-            raise CallerGoneError('the caller has left')
-        if why is SendFailure.replaced:
+            raise CallerGoneError('the caller has disconnected')
+        if failure is SendFailure.replaced:
             instance = question.sends[-1].instance
             self.binder.replicas.note_replaced(upstream, instance)
-            # It costs a few ms and says nothing of how full the service is.
+            # Takes a few ms and does not show that the service is full, so it
+            # does not count towards MAX_SENDS.
             question.tried.discard(upstream.name)
-        elif why not in NO_FAULT:
+        elif failure not in HEALTH_NEUTRAL:
             note_outcome(upstream, went_well=False, now=time.monotonic())
-        question.sends[-1].outcome = why.value
-        has_ended = why in BREAKS and self.binder.suspects.find_ended(upstream)
-        if has_ended and why is SendFailure.lost:
-            self.binder.suspects.note_loss(question, upstream)
-        elif why is SendFailure.lost:
-            self.binder.suspects.note_unsure(question, upstream)
-            # Whether it ended its third upstream is known in a moment.
-            question.is_spent = question.sends[-1].company == Company.nobody
+        question.sends[-1].outcome = failure.value
+        has_crashed = (
+            failure in DISCONNECTS
+            and self.binder.suspects.detect_crash(upstream)
+        )
+        if has_crashed and failure is SendFailure.lost:
+            self.binder.suspects.note_crash(question, upstream)
+        elif failure is SendFailure.lost:
+            self.binder.suspects.note_possible_crash(question, upstream)
+            # If it ran alone, this may be the crash that gets it refused,
+            # which is known as soon as the crash is confirmed.
+            question.is_retry_blocked = (
+                question.sends[-1].company == Company.nobody
+            )
         log_event(
             Event.request_retried,
             request=question.head.identity,
@@ -114,34 +124,40 @@
             failures=upstream.failures,
             runs=question.runs,
             seconds_left=round(question.seconds_left, 3),
-            why=why.value,
-            has_ended=has_ended,
+            why=failure.value,
+            has_ended=has_crashed,
         )
 
-    def _find_next(
+    def _choose_next(
         self,
         question: Question,
     ) -> Result[UpstreamState, SendFailure]:
-        """Find where a question goes next; it may be held until it is late."""
+        """Choose the next upstream, which may take until the request is late.
+
+        :returns: the upstream, or why the request is not sent again.
+        """
         obstacle = self.binder.find_obstacle(question)
         if obstacle is not None:
             return Err(obstacle)
-        upstream = question.following or self.binder.bind(question)
-        question.following = None
+        upstream = question.next_upstream or self.binder.bind(question)
+        question.next_upstream = None
         obstacle = self.binder.find_obstacle(question)
         if obstacle is not None:
             return Err(obstacle)
         return Ok(upstream) if upstream else Err(SendFailure.no_upstream)
 
-    def _go_on(
+    def _handle_failure(
         self,
         question: Question,
         upstream: UpstreamState,
-        why: SendFailure,
+        failure: SendFailure,
     ) -> None:
-        """Learn from a send that failed, before the next one."""
-        self.note_failure(question, upstream, why)
-        if why is SendFailure.late:
+        """Record a failed send, and delay the next one if the request is late.
+
+        :raises CallerGoneError: when the caller has disconnected.
+        """
+        self.note_failure(question, upstream, failure)
+        if failure is SendFailure.late:
             self._step_back(question, upstream)
 
     def _send_once(
@@ -150,125 +166,135 @@
         upstream: UpstreamState,
     ) -> Result[Exchange, SendFailure]:
         question.note_send(upstream)
-        begun = self.pool.begin(
+        opened = self.pool.begin(
             upstream.address,
             question.seconds_left,
-            LAST_RUN_REST_SECONDS
-            if question.is_last_run
+            LAST_ATTEMPT_MAX_IDLE_SECONDS
+            if question.is_last_attempt
             else LONGEST_IDLE_SECONDS,
         )
-        if isinstance(begun, Err):
+        if isinstance(opened, Err):
             return Err(SendFailure.no_connection)
-        answer = begun.ok_value
-        question.hold(upstream, answer)
+        exchange = opened.ok_value
+        question.hold(upstream, exchange)
         try:
-            self._await_head(question, upstream, answer)
-        except QueueLeftError as left:
+            self._await_head(question, upstream, exchange)
+        except QueueLeftError as error:
             question.release(is_broken=True)
-            return Err(left.why)
+            return Err(error.reason)
         except OSError as error:
             question.release(is_broken=True)
-            return Err(name_break(error))
+            return Err(classify_disconnect(error))
         self.binder.reach.note_contact()
-        _note_load(upstream, answer)
-        failure = _judge(question, upstream, answer)
+        _note_load(upstream, exchange)
+        failure = _check_head(question, upstream, exchange)
         if failure is not None:
             question.release(is_broken=failure is SendFailure.foreign_answer)
             return Err(failure)
-        return Ok(answer)
+        return Ok(exchange)
 
     def _await_head(
         self,
         question: Question,
         upstream: UpstreamState,
-        answer: Exchange,
+        exchange: Exchange,
     ) -> None:
-        """Send, and wait for the head; leave a queue if another has room.
+        """Send, and wait for the response head or for a better upstream.
 
-        On a route without an objective nothing tells what is late.
+        On a route without a latency objective no request counts as late, so
+        the request stays where it is.
+
+        :raises QueueLeftError: when the request is to leave this upstream.
         """
         limit = question.limit_silence(has_events=False)
         began = time.monotonic()
-        answer.write(_encode(question, upstream), limit)
-        patience = question.route.objective * waiting.PATIENT_SHARE
-        # Where a suspected question runs was chosen for what runs beside it.
-        may_leave = question.may_run_again and not question.company
-        while may_leave and 0 < patience < limit:
+        exchange.write(_encode(question, upstream), limit)
+        timeout = question.route.objective * waiting.PATIENT_SHARE
+        # A suspected request has to stay where it is isolated from others.
+        may_move = question.may_run_again and not question.company
+        while may_move and 0 < timeout < limit:
             try:
-                answer.await_head(patience)
+                exchange.await_head(timeout)
             except TimeoutError:
                 self._check_queue(question, upstream)
             else:
                 return
-            patience = waiting.LOOK_SECONDS
-            if time.monotonic() - began + patience > limit:
+            timeout = waiting.LOOK_SECONDS
+            if time.monotonic() - began + timeout > limit:
                 break
-        answer.await_head(limit - (time.monotonic() - began))
+        exchange.await_head(limit - (time.monotonic() - began))
 
     def _check_queue(
         self,
         question: Question,
         upstream: UpstreamState,
     ) -> None:
-        """Leave the queue where waiting in it is no use.
+        """Check whether a waiting request should leave the upstream.
 
-        :raises QueueLeftError: when the question is not to wait there.
+        :raises QueueLeftError: when it should.
         """
         other = self.binder.chooser.choose(question)
         if other is None:
             return
         now = time.monotonic()
-        decided = waiting.decide_wait(
+        decision = waiting.decide_wait(
             upstream,
             other,
             question.measure_wait(now),
             now,
         )
-        if decided is waiting.Wait.move:
+        if decision is waiting.Wait.move:
             if self.binder.reserve_at(question, other) is Answer.refused:
                 return
-            question.following = other
+            question.next_upstream = other
             raise QueueLeftError(SendFailure.queued)
-        # A stream that has begun would pause for longer than callers bear.
-        if decided is waiting.Wait.step_back and not question.first_event_at:
+        # The pause would exceed the longest gap between the events of a stream
+        # that callers accept.
+        if decision is waiting.Wait.step_back and not question.first_event_at:
             raise QueueLeftError(SendFailure.late)
-        if decided is waiting.Wait.distrust:
-            question.following = other
+        if decision is waiting.Wait.distrust:
+            question.next_upstream = other
             raise QueueLeftError(SendFailure.silent)
 
     def _step_back(self, question: Question, upstream: UpstreamState) -> None:
-        """Wait here until an upstream has room, or long enough."""
+        """Wait at the entry until an upstream has room, or for a time limit.
+
+        :raises CallerGoneError: when the caller has disconnected.
+        """
         question.tried.discard(upstream.name)
         limit = waiting.limit_step_back(question.seconds_left)
-        give_up = time.monotonic() + limit
-        while time.monotonic() < give_up and not question.is_gone:
+        deadline = time.monotonic() + limit
+        while time.monotonic() < deadline and not question.is_gone:
             gevent.sleep(waiting.LOOK_SECONDS * self.binder.draw.uniform(1, 2))
             other = self.binder.chooser.choose(question)
             if other is None or not waiting.may_return(other, time.monotonic()):
                 continue
             if self.binder.reserve_at(question, other) is Answer.granted:
-                question.following = other
+                question.next_upstream = other
                 return
         if question.is_gone:
-            raise CallerGoneError('the caller has left')
+            raise CallerGoneError('the caller has disconnected')
 
 
-def _judge(
+def _check_head(
     question: Question,
     upstream: UpstreamState,
-    answer: Exchange,
+    exchange: Exchange,
 ) -> SendFailure | None:
-    """Judge the head of an answer; nothing is wrong with what goes back."""
-    if ingress.has_not_run(answer):
+    """Check the head of a response.
+
+    :returns: the failure, ``None`` where the response goes to the caller.
+    """
+    if ingress.has_not_run(exchange):
         question.runs -= 1
-        instance = ingress.get_instance(answer)
+        instance = ingress.get_instance(exchange)
         if instance in {'', upstream.name}:
             return SendFailure.turned_away
         question.sends[-1].instance = instance
         return SendFailure.replaced
-    if not ingress.is_own_answer(answer, question.head.identity):
+    if not ingress.is_own_answer(exchange, question.head.identity):
         return SendFailure.foreign_answer
-    if not ingress.is_success(answer) and question.may_run_again:
+    if not ingress.is_success(exchange) and question.may_run_again:
         return SendFailure.failed
     return None
 
@@ -288,11 +314,11 @@
     )
 
 
-def _note_load(upstream: UpstreamState, answer: Exchange) -> None:
-    """Take in the load that came with an answer, where none is fed."""
+def _note_load(upstream: UpstreamState, exchange: Exchange) -> None:
+    """Record the load that a response reports, unless a load feed is open."""
     if upstream.fed_until > time.monotonic():
         return
-    load = register.parse_load(ingress.get_load(answer))
+    load = register.parse_load(ingress.get_load(exchange))
     if load is not None:
         upstream.reported = load.running + load.waiting
         upstream.reported_at = time.monotonic()
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -1,4 +1,4 @@
-"""Watches the questions of an entry for those that crash upstreams."""
+"""Detects the online requests of an entry that crash upstreams."""
 
 from __future__ import annotations
 
@@ -23,20 +23,21 @@
     from wigeonpier.telemetry.metrics import Metrics
 
 
-# The new incarnation is registered within one heartbeat.
-UNSURE_SECONDS = 5.0
-MOST_UNSURE = 256
+# A crash is confirmed when the restarted upstream registers, which takes one
+# heartbeat.
+CONFIRMATION_SECONDS = 5.0
+MAX_POSSIBLE_CRASHES = 256
 
 
 @dataclass(frozen=True, slots=True)
-class UnsureLoss:
-    """A question that was lost with a connection.
+class PossibleCrash:
+    """A request whose connection was lost, possibly by a crash.
 
-    :param fingerprint: its content.
-    :param upstream: start of the upstream.
+    :param fingerprint: digest of its content.
+    :param upstream: incarnation of the upstream.
     :param was_alone: whether no other suspected request ran there.
     :param had_output: whether its run there had produced events.
-    :param at: when, seconds of the steady clock.
+    :param at: when it was lost, seconds of the monotonic clock.
     """
 
     fingerprint: str
@@ -48,15 +49,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectWatch:
-    """Judges questions, and learns from how their sends ended.
+    """Decides how requests may run, from the crashes seen under them.
 
-    :param suspicions: what is known of suspected requests.
-    :param publisher: tells other processes.
-    :param ends: finds out whether an upstream has ended.
+    :param suspicions: table of suspected requests.
+    :param publisher: sends updates to other processes.
+    :param ends: checks whether an upstream has crashed.
     :param replicas: upstreams that may be routed to.
-    :param metrics: numbers of this process.
-    :param quarantine: keeps refused requests in the store.
-    :param unsure: losses of which it is not known what they came from.
+    :param metrics: metrics of this process.
+    :param quarantine: persists refused requests.
+    :param possible_crashes: lost connections whose cause is not known yet.
     """
 
     suspicions: Suspicions
@@ -65,49 +66,52 @@
     replicas: ReplicaRegister
     metrics: Metrics
     quarantine: QuarantineStore
-    unsure: deque[UnsureLoss] = field(
-        default_factory=lambda: deque(maxlen=MOST_UNSURE),
+    possible_crashes: deque[PossibleCrash] = field(
+        default_factory=lambda: deque(maxlen=MAX_POSSIBLE_CRASHES),
     )
 
     def judge(self, question: Question) -> Standing:
-        """Judge a question; where nobody is suspected nothing is digested.
+        """Decide how a request may run.
 
-        :param question: the question.
-        :returns: how it may be run.
+        The fingerprint is not computed while no request is suspected.
+
+        :param question: the request.
+        :returns: how it may run.
         """
-        standing = self._judge_by_ends(question)
-        # Whether those upstreams ended is known only with their next starts.
+        standing = self._judge_by_crashes(question)
+        # Whether the upstreams crashed is known only once they have restarted.
         is_often_lost = question.count_losses() >= CRASHES_BEFORE_ISOLATION
         if is_often_lost and standing is not Standing.refused:
             return Standing.alone
         return standing
 
     def list_tried_versions(self, question: Question) -> set[str]:
-        """List the versions on which a culprit is not to be tried again.
+        """List the upstream versions on which a request is not tried again.
 
-        :param question: the question.
-        :returns: versions of upstreams' software, none for who is no culprit.
+        :param question: the request.
+        :returns: versions that it crashed, empty unless it is refused.
         """
         return self.suspicions.list_tried_versions(question.fingerprint)
 
-    def find_ended(self, upstream: UpstreamState) -> bool:
-        """Find out whether an upstream has ended.
+    def detect_crash(self, upstream: UpstreamState) -> bool:
+        """Check whether an upstream has crashed.
 
-        :param upstream: where a connection broke.
-        :returns: false where that is not known.
+        :param upstream: upstream to which a connection broke.
+        :returns: whether it has; false if that cannot be determined.
         """
         if self.ends.has_ended(upstream.start, upstream.address):
             self.replicas.note_end(upstream.start)
             return True
         return False
 
-    def note_loss(self, question: Question, upstream: UpstreamState) -> None:
-        """Hold the end of an upstream against a question that was there.
+    def note_crash(self, question: Question, upstream: UpstreamState) -> None:
+        """Count a crash of an upstream against a request that ran there.
 
-        :param question: what was lost.
-        :param upstream: what has ended.
+        :param question: the request that was lost.
+        :param upstream: the crashed upstream.
         """
-        # An upstream that leaves ends with what it did not finish in time.
+        # An upstream that shuts down drops requests that are unfinished when
+        # its time is up, which is no crash.
         if upstream.is_leaving:
             return
         news = self.suspicions.note_end(
@@ -122,15 +126,17 @@
         if news.ends:
             self.quarantine.note(question.fingerprint)
 
-    def note_unsure(self, question: Question, upstream: UpstreamState) -> None:
-        """Remember a question that was lost while its upstream may be well.
+    def note_possible_crash(
+        self, question: Question, upstream: UpstreamState
+    ) -> None:
+        """Record a lost connection to an upstream that may still be running.
 
-        :param question: what was lost.
-        :param upstream: where a connection broke.
+        :param question: the request that was lost.
+        :param upstream: upstream to which the connection broke.
         """
-        self._forget_unsure()
-        self.unsure.append(
-            UnsureLoss(
+        self._drop_expired()
+        self.possible_crashes.append(
+            PossibleCrash(
                 question.fingerprint,
                 upstream.start,
                 question.sends[-1].company == Company.nobody,
@@ -140,14 +146,15 @@
         )
 
     def note_replaced(self, upstream: UpstreamState) -> None:
-        """Learn that an upstream has ended from the next start at its address.
+        """Count crashes that a new incarnation at the same address confirms.
 
-        A process that is started again at once refuses no connection.
+        An upstream that restarts at once never refuses a connection, so the
+        new incarnation is the only sign of its crash.
 
-        :param upstream: the start that is over.
+        :param upstream: the replaced incarnation.
         """
-        self._forget_unsure()
-        for loss in self.unsure:
+        self._drop_expired()
+        for loss in self.possible_crashes:
             if loss.upstream == upstream.start and not upstream.is_leaving:
                 news = self.suspicions.note_end(
                     loss.fingerprint,
@@ -159,11 +166,13 @@
                 self.publisher.publish(news, upstream.address)
                 self.quarantine.note(loss.fingerprint)
 
-    def note_whole(self, question: Question, upstream: UpstreamState) -> None:
-        """Clear a question whose run came to its end.
+    def note_completed(
+        self, question: Question, upstream: UpstreamState
+    ) -> None:
+        """Clear a request that ran to completion.
 
-        :param question: the question.
-        :param upstream: where it ran.
+        :param question: the request.
+        :param upstream: upstream that ran it.
         """
         if self.suspicions.is_empty:
             return
@@ -171,9 +180,9 @@
         self.publisher.publish(news, upstream.address)
 
     def note_refusal(self, question: Question) -> None:
-        """Note that a question is refused for what it does.
+        """Record that a request is refused because it crashes upstreams.
 
-        :param question: the question.
+        :param question: the request.
         """
         self.metrics.count('condemned_total', route=question.route.name)
         log_event(
@@ -187,7 +196,7 @@
         if news.kept:
             self.quarantine.note(question.fingerprint)
 
-    def _judge_by_ends(self, question: Question) -> Standing:
+    def _judge_by_crashes(self, question: Question) -> Standing:
         if self.suspicions.is_empty:
             return Standing.free
         versions = {
@@ -197,7 +206,7 @@
         }
         return self.suspicions.judge(question.fingerprint, versions)
 
-    def _forget_unsure(self) -> None:
-        oldest = time.monotonic() - UNSURE_SECONDS
-        while self.unsure and self.unsure[0].at < oldest:
-            self.unsure.popleft()
+    def _drop_expired(self) -> None:
+        oldest = time.monotonic() - CONFIRMATION_SECONDS
+        while self.possible_crashes and self.possible_crashes[0].at < oldest:
+            self.possible_crashes.popleft()
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -49,7 +49,7 @@
         return
     with pytest.raises(QueueLeftError) as left:
         sender._check_queue(question, current)
-    assert left.value.why is SendFailure.late
+    assert left.value.reason is SendFailure.late
 
 
 def test_a_question_with_nowhere_to_go_stays() -> None:
