--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -179,9 +179,9 @@
         question.hold(upstream, exchange)
         try:
             self._await_head(question, upstream, exchange)
-        except QueueLeftError as error:
+        except QueueLeftError as departure:
             question.release(is_broken=True)
-            return Err(error.reason)
+            return Err(departure.reason)
         except OSError as error:
             question.release(is_broken=True)
             return Err(classify_disconnect(error))
