--- a/src/wigeonpier/hosted/customerpage.py
+++ b/src/wigeonpier/hosted/customerpage.py
@@ -1,4 +1,4 @@
-"""Shows operators what customers may use, use, and who counts it."""
+"""Serves operators the limits and the usage of customers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.configuration import ConfigurationWatch
-    from wigeonpier.hosted.customeruse import CustomerUse
+    from wigeonpier.hosted.customeruse import CustomerLimiter
     from wigeonpier.hosted.knowledge import ConfigurationKnowledge
     from wigeonpier.served import ServedCustomer
 
@@ -19,15 +19,15 @@
 
 
 class LimitRow(msgspec.Struct, frozen=True):
-    """A customer as an entry sees it; no key is shown.
-
-    :param customer: its name.
-    :param rate: requests a second that it may send, 0 for no limit.
-    :param burst: requests on top in a span.
-    :param priority: its rank, ``None`` where that is the route's.
-    :param used: requests of all entries in the span.
-    :param here: those of them that came here.
-    :param refused: requests that were refused here since the start.
+    """Limits and usage of one customer, without its keys.
+
+    :param customer: name of the customer.
+    :param rate: allowed requests per second, 0 for no limit.
+    :param burst: requests allowed in addition within the quota window.
+    :param priority: its priority, ``None`` if that of the route applies.
+    :param used: requests at all entries within the quota window.
+    :param here: those of them that were admitted by this entry.
+    :param refused: requests refused by this entry since its start.
     """
 
     customer: str
@@ -40,12 +40,12 @@
 
 
 class CustomerOverview(msgspec.Struct, frozen=True):
-    """What an entry knows of all customers.
+    """Limits and usage of all customers, as an entry knows them.
 
-    :param version: configuration in force, 0 where none is known.
-    :param age: seconds since it was known to be the newest, below zero where
-        that was never known.
-    :param counters: processes that count requests and are heard.
+    :param version: version of the current configuration, 0 if there is none.
+    :param age: seconds since the configuration was last confirmed to be the
+        newest, negative if it never was.
+    :param counters: number of counters in contact.
     :param customers: a row for each customer.
     """
 
@@ -56,18 +56,23 @@
 
 
 class CustomerPage:
-    """Answers operators."""
+    """Answers operators' requests about customers."""
 
     def __init__(
         self,
         configuration: ConfigurationWatch,
         knowledge: ConfigurationKnowledge,
-        use: CustomerUse,
+        limiter: CustomerLimiter,
     ) -> None:
-        """Show what is in force and what is counted here."""
+        """Create the page.
+
+        :param configuration: current configuration.
+        :param knowledge: age of that configuration.
+        :param limiter: request counts.
+        """
         self._configuration = configuration
         self._knowledge = knowledge
-        self._use = use
+        self._limiter = limiter
 
     def make_routes(self) -> list[Route]:
         """List the paths for operators.
@@ -77,25 +82,25 @@
         return [make_route('GET', CUSTOMERS_PATH, self._show)]
 
     def count_refused(self) -> int:
-        """Count requests that were refused for a limit.
+        """Count the requests that were refused because of a limit.
 
-        :returns: since the start.
+        :returns: number of requests since the start.
         """
-        return sum(row.refused for row in self._use.list_rows())
+        return sum(row.refused for row in self._limiter.list_rows())
 
     def measure_age(self) -> float:
-        """Measure the age of what is known.
+        """Measure the time since the configuration was last confirmed.
 
-        :returns: seconds, below zero where nothing was ever known.
+        :returns: seconds, negative if it never was.
         """
         age = self._knowledge.measure().age
         return age if age < float('inf') else -1
 
     def _show(self, _request: Request) -> Response:
-        used = {row.customer: row for row in self._use.list_rows()}
+        usage = {row.customer: row for row in self._limiter.list_rows()}
         rows = []
         for customer in self._list_customers():
-            row = used.get(customer.name)
+            row = usage.get(customer.name)
             rows.append(
                 LimitRow(
                     customer.name,
@@ -111,7 +116,7 @@
             CustomerOverview(
                 self._configuration.get_version(),
                 round(self.measure_age(), 3),
-                self._use.count_sources(),
+                self._limiter.count_counters(),
                 rows,
             ),
         )
@@ -120,6 +125,6 @@
         current = self._configuration.current
         if current is None or current.customers is None:
             return []
-        known = current.customers
-        by_name = {customer.name: customer for customer in known.values()}
+        by_key = current.customers
+        by_name = {customer.name: customer for customer in by_key.values()}
         return [by_name[name] for name in sorted(by_name)]
--- a/src/wigeonpier/hosted/customeruse.py
+++ b/src/wigeonpier/hosted/customeruse.py
@@ -1,4 +1,4 @@
-"""Admits requests of customers within their limits, over all entries."""
+"""Limits the requests of each customer over all entries."""
 
 from __future__ import annotations
 
@@ -34,23 +34,24 @@
     from wigeonpier.served import ServedCustomer
     from wigeonpier.web.pool import ConnectionPool
 
-# Longest delay of a report that no other call carries.
-REPORT_SECONDS = 0.2
-ANSWER_SECONDS = 0.5
-# Who tells nothing for so long is gone or cut off; it says each 0.4 s that its
-# load is the same.
-HEARD_SECONDS = 2.0
-# Spreads the retries of refused callers.
-SPREAD = (1.0, 1.5)
+# Longest delay before a count is reported, where no slot reservation carries
+# it earlier.
+REPORT_INTERVAL_SECONDS = 0.2
+REPORT_TIMEOUT_SECONDS = 0.5
+# A counter that is silent for so long is down or unreachable: the load feed
+# sends a line at least every 0.4 s.
+CONTACT_TIMEOUT_SECONDS = 2.0
+# Factors between which the retry delays of refused callers are drawn.
+RETRY_JITTER = (1.0, 1.5)
 
 
 class CustomerRow(msgspec.Struct, frozen=True):
-    """What an entry knows of the requests of one customer.
+    """Request counts of one customer, as an entry shows them.
 
-    :param customer: its name.
-    :param used: requests of all entries in the span.
-    :param here: those of them that came here.
-    :param refused: requests that were refused here since the start.
+    :param customer: name of the customer.
+    :param used: requests at all entries within the quota window.
+    :param here: those of them that were admitted by this entry.
+    :param refused: requests refused by this entry since its start.
     """
 
     customer: str
@@ -61,16 +62,16 @@
 
 @dataclass(slots=True)
 class Account:
-    """What this entry knows of the requests of one customer.
+    """Request counts of one customer at this entry.
 
-    :param told: requests of all entries, as they were told.
+    :param reported: requests at all entries, as reported by the counters.
     :param own: requests that this entry admitted.
-    :param unseen: those of them that may not be told yet.
-    :param demand: requests that came here, refused ones too.
-    :param refused: requests that were refused here.
+    :param unseen: those of them that the reports may not include yet.
+    :param demand: requests that this entry received, including refused ones.
+    :param refused: requests that this entry refused.
     """
 
-    told: Window
+    reported: Window
     own: Window
     unseen: Window = field(
         default_factory=lambda: Window(allowance.UNSEEN_SECONDS),
@@ -82,23 +83,25 @@
 
 
 @dataclass(slots=True)
-class Source:
-    """A process that tells what it counts.
-
-    :param contact_at: when it told anything, seconds of the steady clock.
-    :param known_from: since when nothing that it counted is missed, likewise.
-    :param start: tells its starts apart.
-    :param totals: requests by customer since then.
+class CounterState:
+    """State of a counter, a worker that counts the requests of customers.
+
+    :param contact_at: time of its last message, seconds of the monotonic
+        clock.
+    :param complete_since: time since which all its counts are known, seconds
+        of the monotonic clock.
+    :param start: id of its current start.
+    :param totals: requests by customer since that start.
     """
 
     contact_at: float
-    known_from: float
+    complete_since: float
     start: str = ''
     totals: dict[str, int] = field(default_factory=dict)
 
 
-class CustomerUse:
-    """Counts what customers ask for, and admits what fits."""
+class CustomerLimiter:
+    """Counts the requests of customers and admits those within the limits."""
 
     def __init__(
         self,
@@ -107,11 +110,11 @@
         list_counters: Callable[[], list[str]],
         draw: random.Random,
     ) -> None:
-        """Hold customers to their limits.
+        """Create the limiter.
 
-        :param bounds: times that the site promises.
-        :param pool: connections to the processes that count.
-        :param list_counters: lists ``host:port`` of each of them.
+        :param bounds: guarantees that the site is configured with.
+        :param pool: connections to the counters.
+        :param list_counters: lists ``host:port`` of each counter in contact.
         :param draw: source of randomness.
         """
         self._bounds = bounds
@@ -119,25 +122,25 @@
         self._list_counters = list_counters
         self._draw = draw
         self._accounts: dict[str, Account] = {}
-        self._sources: dict[str, Source] = {}
+        self._counters: dict[str, CounterState] = {}
         # Requests that have not been reported yet.
         self._unreported: Counter[str] = Counter()
 
     def start(self) -> None:
-        """Begin to tell what was not told with anything else."""
-        spawn_loop('usage', self._step)
+        """Begin to send reports that no slot reservation has carried."""
+        spawn_loop('usage', self._report)
 
     def admit(self, customer: ServedCustomer, request: str) -> None:
         """Admit one request of a customer.
 
-        :param customer: who asks.
+        :param customer: the customer.
         :param request: id of the request, for the log.
-        :raises Refusal: where its limit is reached; the request did not run.
+        :raises Refusal: when the limit of the customer is reached.
         """
         if not customer.rate:
             return
         now = time.monotonic()
-        account = self._find(customer.name)
+        account = self._find_account(customer.name)
         spend(account.demand, 1, now)
         limit = allowance.Limit(
             customer.rate,
@@ -161,19 +164,19 @@
                 certainty=round(use.certainty, 2),
             )
             raise self._refuse(account, limit, now)
-        self._note(customer.name, account, 1, now)
+        self._count(customer.name, account, 1, now)
 
-    def give_back(self, customer: ServedCustomer) -> None:
-        """Note that a request that was admitted did not run.
+    def refund(self, customer: ServedCustomer) -> None:
+        """Uncount an admitted request that did not run.
 
-        :param customer: who asked.
+        :param customer: the customer.
         """
         if customer.rate:
-            account = self._find(customer.name)
-            self._note(customer.name, account, -1, time.monotonic())
+            account = self._find_account(customer.name)
+            self._count(customer.name, account, -1, time.monotonic())
 
     def take_unreported(self) -> dict[str, int]:
-        """Take what is told with the next call to a process that counts.
+        """Remove and return the counts to report with the next call.
 
         :returns: requests by customer.
         """
@@ -185,80 +188,86 @@
         self._unreported.clear()
         return unreported
 
-    def put_back(self, unreported: dict[str, int]) -> None:
-        """Note that a call was not answered.
+    def restore_unreported(self, unreported: dict[str, int]) -> None:
+        """Queue the counts of an unanswered call to be reported again.
 
-        :param unreported: what it told, which may have been counted.
+        :param unreported: requests by customer; the counter may have counted
+            them already.
         """
         self._unreported.update(unreported)
 
     def note_contact(self, host: str) -> None:
-        """Note that a process that counts was heard.
+        """Record that a counter has sent something.
 
         :param host: address of its VM.
         """
-        self._find_source(host).contact_at = time.monotonic()
+        self._find_counter(host).contact_at = time.monotonic()
 
-    def record_report(self, host: str, news: UsageNews) -> None:
-        """Take in what a process tells.
+    def record_report(self, host: str, report: UsageNews) -> None:
+        """Record the report of a counter.
 
         :param host: address of its VM.
-        :param news: what it counted.
+        :param report: the report.
         """
         now = time.monotonic()
-        source = self._find_source(host)
-        if news.start == source.start:
-            told = {
-                name: total - source.totals.get(name, 0)
-                for name, total in news.totals.items()
+        counter = self._find_counter(host)
+        if report.start == counter.start:
+            increments = {
+                name: total - counter.totals.get(name, 0)
+                for name, total in report.totals.items()
             }
         else:
-            self._note_start(source, news, now)
-            told = news.recent
-        source.contact_at = now
-        source.totals |= news.totals
-        for name, count in told.items():
-            spend(self._find(name).told, count, now)
+            self._note_restart(counter, report, now)
+            increments = report.recent
+        counter.contact_at = now
+        counter.totals |= report.totals
+        for name, count in increments.items():
+            spend(self._find_account(name).reported, count, now)
 
     def list_rows(self) -> list[CustomerRow]:
-        """List what is known of customers that came here.
+        """List the counts of all customers that this entry has counts of.
 
-        :returns: a row for each, by name.
+        :returns: a row for each customer, sorted by name.
         """
         now = time.monotonic()
         return [
             CustomerRow(
                 name,
-                sum_spent(account.told, now),
+                sum_spent(account.reported, now),
                 sum_spent(account.own, now),
                 account.refused,
             )
             for name, account in sorted(self._accounts.items())
         ]
 
-    def count_sources(self) -> int:
-        """Count the processes that count requests and are heard.
+    def count_counters(self) -> int:
+        """Count the counters that are in contact.
 
-        :returns: how many.
+        :returns: number of counters.
         """
         now = time.monotonic()
-        return sum(_is_in_contact(one, now) for one in self._sources.values())
+        return sum(_is_in_contact(one, now) for one in self._counters.values())
 
-    def _note_start(self, source: Source, news: UsageNews, now: float) -> None:
-        """Take in that a process began anew, or is heard for the first time.
+    def _note_restart(
+        self,
+        counter: CounterState,
+        report: UsageNews,
+        now: float,
+    ) -> None:
+        """Record the first report of a new start of a counter.
 
-        What was heard of an earlier start is known as long as nothing was
-        missed of it.
+        If contact was never lost, the counts of its previous start are
+        complete and remain valid.
         """
-        started_at = now - news.age
-        if source.start and _is_in_contact(source, now):
-            source.known_from = min(source.known_from, started_at)
+        started_at = now - report.age
+        if counter.start and _is_in_contact(counter, now):
+            counter.complete_since = min(counter.complete_since, started_at)
         else:
-            source.known_from = started_at
-        source.start = news.start
-        source.totals = {}
+            counter.complete_since = started_at
+        counter.start = report.start
+        counter.totals = {}
 
-    def _find(self, name: str) -> Account:
+    def _find_account(self, name: str) -> Account:
         account = self._accounts.get(name)
         if account is None:
             span = self._bounds.quota_window
@@ -266,11 +275,11 @@
             self._accounts[name] = account
         return account
 
-    def _find_source(self, host: str) -> Source:
+    def _find_counter(self, host: str) -> CounterState:
         now = time.monotonic()
-        return self._sources.setdefault(host, Source(now, now))
+        return self._counters.setdefault(host, CounterState(now, now))
 
-    def _note(
+    def _count(
         self,
         name: str,
         account: Account,
@@ -283,10 +292,10 @@
 
     def _measure(self, account: Account, now: float) -> allowance.Use:
         own = sum_spent(account.own, now)
-        # Where nobody counts, what came here stands for all entries.
-        told = max(own, sum_spent(account.told, now))
+        # Without a counter, only the requests of this entry are known.
+        reported = max(own, sum_spent(account.reported, now))
         return allowance.Use(
-            told,
+            reported,
             sum_spent(account.unseen, now),
             own,
             sum_spent(account.demand, now) / allowance.DEMAND_SECONDS,
@@ -295,15 +304,15 @@
 
     def _measure_certainty(self, now: float) -> float:
         span = self._bounds.quota_window
-        # What a process counted that is silent for longer is over.
-        self._sources = {
-            host: source
-            for host, source in self._sources.items()
-            if now - source.contact_at < span + HEARD_SECONDS
+        # The counts of a counter that is silent for longer have expired.
+        self._counters = {
+            host: counter
+            for host, counter in self._counters.items()
+            if now - counter.contact_at < span + CONTACT_TIMEOUT_SECONDS
         }
         covered = [
-            now - source.known_from if _is_in_contact(source, now) else 0
-            for source in self._sources.values()
+            now - counter.complete_since if _is_in_contact(counter, now) else 0
+            for counter in self._counters.values()
         ]
         return allowance.measure_certainty(covered, span)
 
@@ -313,18 +322,18 @@
         limit: allowance.Limit,
         now: float,
     ) -> Refusal:
-        wait = time_until_available([account.told], limit.requests, 1, now)
-        spread = self._draw.uniform(*SPREAD)
-        seconds = max(wait, allowance.UNSEEN_SECONDS) * spread
-        most = round(limit.requests)
+        wait = time_until_available([account.reported], limit.requests, 1, now)
+        jitter = self._draw.uniform(*RETRY_JITTER)
+        seconds = max(wait, allowance.UNSEEN_SECONDS) * jitter
+        maximum = round(limit.requests)
         return Refusal(
             ErrorKind.limit_reached,
-            f'at most {most} requests in {limit.seconds} s',
+            f'at most {maximum} requests in {limit.seconds} s',
             retry_seconds=round(seconds, 3),
         )
 
-    def _step(self) -> None:
-        gevent.sleep(REPORT_SECONDS)
+    def _report(self) -> None:
+        gevent.sleep(REPORT_INTERVAL_SECONDS)
         counters = self._list_counters() if self._unreported else []
         if not counters:
             return
@@ -332,10 +341,13 @@
         address = self._draw.choice(counters)
         body = msgspec.json.encode(unreported)
         raw = make_request('POST', USAGE_PATH, [('Host', address)], body)
-        called = self._pool.call(address, raw, ANSWER_SECONDS)
+        called = self._pool.call(address, raw, REPORT_TIMEOUT_SECONDS)
         if isinstance(called, Err) or not called.ok_value.is_good:
-            self.put_back(unreported)
+            self.restore_unreported(unreported)
 
 
-def _is_in_contact(source: Source, now: float) -> bool:
-    return bool(source.start) and now - source.contact_at < HEARD_SECONDS
+def _is_in_contact(counter: CounterState, now: float) -> bool:
+    return (
+        bool(counter.start)
+        and now - counter.contact_at < CONTACT_TIMEOUT_SECONDS
+    )
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -16,7 +16,7 @@
 from wigeonpier.hosted.chooser import UpstreamChooser
 from wigeonpier.hosted.configuration import ConfigurationWatch
 from wigeonpier.hosted.customerpage import CustomerPage
-from wigeonpier.hosted.customeruse import CustomerUse
+from wigeonpier.hosted.customeruse import CustomerLimiter
 from wigeonpier.hosted.holder import JobHolder
 from wigeonpier.hosted.jobs import JobHandler
 from wigeonpier.hosted.knowledge import ConfigurationKnowledge
@@ -105,7 +105,7 @@
             split_address(settings.peers)[1],
             common.draw,
         )
-        self._use = CustomerUse(
+        self._limiter = CustomerLimiter(
             settings.bounds,
             common.pool,
             self._list_counters,
@@ -120,7 +120,7 @@
                 self._note_load,
                 self._receive_news,
                 self._publisher.publish_all,
-                self._use.record_report,
+                self._limiter.record_report,
             ),
         )
         self._questions = QuestionHandler(
@@ -128,7 +128,7 @@
             self._make_sender(),
             common.metrics,
             common.draw,
-            self._use,
+            self._limiter,
         )
         ledger = JobLedger(common.store)
         self._holder = JobHolder(
@@ -175,7 +175,7 @@
             self._knowledge,
             self._replicas,
             self._loads,
-            self._use,
+            self._limiter,
             self._reach,
             self._holder,
             self._callers,
@@ -214,7 +214,7 @@
         customers = CustomerPage(
             self._configuration,
             self._knowledge,
-            self._use,
+            self._limiter,
         )
         metrics.add_gauge('customers_limited', customers.count_refused)
         metrics.add_gauge('knowledge_age_seconds', customers.measure_age)
@@ -230,7 +230,7 @@
             split_address(common.settings.peers)[1],
             common.pool,
             common.metrics,
-            self._use,
+            self._limiter,
         )
         suspects = SuspectWatch(
             self._suspicions,
@@ -255,7 +255,7 @@
     def _note_load(self, host: str, load: QuestionLoad) -> None:
         self._reach.note_contact()
         self._relays.note(host, has_store=load.has_store)
-        self._use.note_contact(host)
+        self._limiter.note_contact(host)
 
     def _list_counters(self) -> list[str]:
         """List the processes that count requests and are heard now."""
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -30,7 +30,7 @@
 
     from wigeonpier.hosted.arrival import Arrival
     from wigeonpier.hosted.configuration import ConfigurationWatch
-    from wigeonpier.hosted.customeruse import CustomerUse
+    from wigeonpier.hosted.customeruse import CustomerLimiter
     from wigeonpier.hosted.sender import (
         QuestionSender,
     )
@@ -66,7 +66,7 @@
         sender: QuestionSender,
         metrics: Metrics,
         draw: random.Random,
-        use: CustomerUse,
+        limiter: CustomerLimiter,
     ) -> None:
         """Create the handler.
 
@@ -74,9 +74,9 @@
         :param sender: sends requests to upstreams.
         :param metrics: metrics of this process.
         :param draw: source of randomness.
-        :param use: admits requests within the customers' limits.
+        :param limiter: admits requests within the customers' limits.
         """
-        self._use = use
+        self._limiter = limiter
         self._configuration = configuration
         self._sender = sender
         self._metrics = metrics
@@ -91,7 +91,7 @@
         """
         question = self._make_question(arrival)
         if arrival.customer is not None:
-            self._use.admit(arrival.customer, arrival.head.identity)
+            self._limiter.admit(arrival.customer, arrival.head.identity)
         question.watcher = watch_close(
             arrival.request.connection,
             question.leave,
@@ -100,7 +100,7 @@
             return self._answer(question)
         except BaseException as error:
             if arrival.customer is not None and not question.runs:
-                self._use.give_back(arrival.customer)
+                self._limiter.refund(arrival.customer)
             self._finish(question, type(error).__name__)
             raise
 
--- a/src/wigeonpier/hosted/reserver.py
+++ b/src/wigeonpier/hosted/reserver.py
@@ -17,7 +17,7 @@
 from wigeonpier.web.exchange import make_request
 
 if TYPE_CHECKING:
-    from wigeonpier.hosted.customeruse import CustomerUse
+    from wigeonpier.hosted.customeruse import CustomerLimiter
     from wigeonpier.policy.route import UpstreamState
     from wigeonpier.telemetry.metrics import Metrics
     from wigeonpier.web.pool import ConnectionPool
@@ -41,10 +41,10 @@
         port: int,
         pool: ConnectionPool,
         metrics: Metrics,
-        use: CustomerUse,
+        limiter: CustomerLimiter,
     ) -> None:
         """Ask at this port of the upstreams' VMs."""
-        self._use = use
+        self._limiter = limiter
         self._port = port
         self._pool = pool
         self._metrics = metrics
@@ -68,13 +68,13 @@
         """
         host = split_address(upstream.address)[0]
         address = f'{host}:{self._port}'
-        admitted = self._use.take_unreported()
+        admitted = self._limiter.take_unreported()
         body = msgspec.json.encode(ReservationAsk(is_late, trial, admitted))
         headers = [('Host', address)]
         raw = make_request('POST', RESERVATION_PATH, headers, body)
         called = self._pool.call(address, raw, patience)
         if isinstance(called, Err):
-            self._use.put_back(admitted)
+            self._limiter.restore_unreported(admitted)
             upstream.takes_work = False
             return self._count(Answer.unanswered)
         if not called.ok_value.is_good:
--- a/tests/hosted/test_customeruse.py
+++ b/tests/hosted/test_customeruse.py
@@ -1,7 +1,7 @@
-"""How much of a span an entry knows of, by whom it hears.
+"""Tests how much of the quota window an entry has complete counts for.
 
-Entries that were cut off together come back before they hear all who count;
-what they do not hear they must not take for nothing.
+Entries that were partitioned together receive requests again before they are
+in contact with all counters.  They must not take the missing counts for zero.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import pytest
 
 from wigeonpier.hosted import customeruse
-from wigeonpier.hosted.customeruse import CustomerUse
+from wigeonpier.hosted.customeruse import CustomerLimiter
 from wigeonpier.hosted.usagecounter import UsageNews
 from wigeonpier.models import Bounds
 
@@ -28,66 +28,70 @@
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    """Give the entry a clock that the test turns."""
+    """Replace the limiter's clock by one that the test advances."""
     clock = Clock()
     monkeypatch.setattr(customeruse, 'time', clock)
     return clock
 
 
-def make_use() -> CustomerUse:
+def make_limiter() -> CustomerLimiter:
     bounds = Bounds(8, 120, 3, quota_window=SPAN, quota_slack=20)
-    return CustomerUse(bounds, None, list, random.Random(1))
+    return CustomerLimiter(bounds, None, list, random.Random(1))
 
 
-def hear(use: CustomerUse, hosts, *, start='a', age=60.0, total=10) -> None:
+def report(
+    limiter: CustomerLimiter, hosts, *, start='a', age=60.0, total=10
+) -> None:
     for host in hosts:
-        news = UsageNews(start, {'c': total}, {'c': total}, age)
-        use.record_report(host, news)
+        update = UsageNews(start, {'c': total}, {'c': total}, age)
+        limiter.record_report(host, update)
 
 
-def test_all_is_known_where_all_who_count_are_heard(clock: Clock) -> None:
-    use = make_use()
-    hear(use, HOSTS)
-    assert use._measure_certainty(clock.now) == 1
-    assert use._find('c').told.total == 40
+def test_certainty_is_full_with_all_counters_in_contact(clock: Clock) -> None:
+    limiter = make_limiter()
+    report(limiter, HOSTS)
+    assert limiter._measure_certainty(clock.now) == 1
+    assert limiter._find_account('c').reported.total == 40
 
 
-def test_who_is_silent_is_not_known(clock: Clock) -> None:
-    use = make_use()
-    hear(use, HOSTS)
+def test_silent_counters_lower_the_certainty(clock: Clock) -> None:
+    limiter = make_limiter()
+    report(limiter, HOSTS)
     clock.now += 3
-    hear(use, HOSTS[:1])
-    assert use._measure_certainty(clock.now) == 0.25
+    report(limiter, HOSTS[:1])
+    assert limiter._measure_certainty(clock.now) == 0.25
     clock.now += SPAN
-    hear(use, HOSTS[:1])
-    # What the others had counted is over, and they count nothing any more.
-    assert use._measure_certainty(clock.now) == 1
+    report(limiter, HOSTS[:1])
+    # The counts of the silent counters have expired, and so have the counters.
+    assert limiter._measure_certainty(clock.now) == 1
 
 
-def test_who_is_heard_again_tells_what_was_missed(clock: Clock) -> None:
-    use = make_use()
-    hear(use, HOSTS)
+def test_a_counter_back_in_contact_reports_what_was_missed(
+    clock: Clock,
+) -> None:
+    limiter = make_limiter()
+    report(limiter, HOSTS)
     clock.now += 4
-    hear(use, HOSTS, total=15)
-    assert use._measure_certainty(clock.now) == 1
-    assert use._find('c').told.total == 60
+    report(limiter, HOSTS, total=15)
+    assert limiter._measure_certainty(clock.now) == 1
+    assert limiter._find_account('c').reported.total == 60
 
 
-def test_a_process_that_begins_anew_takes_nothing_from_who_heard_it(
+def test_counts_survive_the_restart_of_a_counter_in_contact(
     clock: Clock,
 ) -> None:
-    use = make_use()
-    hear(use, HOSTS)
+    limiter = make_limiter()
+    report(limiter, HOSTS)
     clock.now += 1
-    hear(use, HOSTS, start='b', age=0.1, total=0)
-    assert use._measure_certainty(clock.now) == 1
-    assert use._find('c').told.total == 40
+    report(limiter, HOSTS, start='b', age=0.1, total=0)
+    assert limiter._measure_certainty(clock.now) == 1
+    assert limiter._find_account('c').reported.total == 40
 
 
-def test_where_all_begin_anew_little_is_known(clock: Clock) -> None:
-    use = make_use()
-    hear(use, HOSTS, age=1.0, total=2)
-    assert use._measure_certainty(clock.now) == pytest.approx(0.2)
+def test_certainty_is_low_after_all_counters_restarted(clock: Clock) -> None:
+    limiter = make_limiter()
+    report(limiter, HOSTS, age=1.0, total=2)
+    assert limiter._measure_certainty(clock.now) == pytest.approx(0.2)
     clock.now += 1.5
-    hear(use, HOSTS, total=3)
-    assert use._measure_certainty(clock.now) == pytest.approx(0.5)
+    report(limiter, HOSTS, total=3)
+    assert limiter._measure_certainty(clock.now) == pytest.approx(0.5)
--- a/tests/hosted/test_limits.py
+++ b/tests/hosted/test_limits.py
@@ -100,7 +100,7 @@
     wait_for(lambda: all(e.is_ready for e in limited.entries), 'ready')
     wait_for(
         lambda: all(
-            entry._use._sources and entry._use._accounts
+            entry._limiter._counters and entry._limiter._accounts
             for entry in limited.entries[-3:]
         ),
         'it is told',
