--- a/src/wigeonpier/hosted/chooser.py
+++ b/src/wigeonpier/hosted/chooser.py
@@ -1,4 +1,4 @@
-"""Chooses where a question may go, by what this entry knows of upstreams."""
+"""Chooses upstreams for requests from what this entry knows of them."""
 
 from __future__ import annotations
 
@@ -17,59 +17,61 @@
     from wigeonpier.models import HostSettings
     from wigeonpier.policy.route import UpstreamState
 
-NOBODY_ASKED: frozenset[str] = frozenset()
+NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamChooser:
     """Chooses among the upstreams that this entry routes to.
 
-    :param settings: what the process was told.
+    :param settings: settings of the process.
     :param replicas: upstreams that may be routed to.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     """
 
     settings: HostSettings
     replicas: ReplicaRegister
-    draw: random.Random
+    rng: random.Random
 
     def choose(
         self,
         question: Question,
-        asked: Set[str] = NOBODY_ASKED,
+        excluded: Set[str] = NONE_EXCLUDED,
     ) -> UpstreamState | None:
-        """Choose an upstream for a question.
+        """Choose an upstream for a request.
 
-        :param question: the question; it goes nowhere twice.
-        :param asked: upstreams that are left out besides.
-        :returns: the choice, ``None`` where there is none.
+        :param question: the request; upstreams that it was sent to already
+            are left out.
+        :param excluded: names of other upstreams to leave out.
+        :returns: the upstream, ``None`` if there is none.
         """
         return choose_upstream(
             self.replicas.list_upstreams(),
-            self._make_ask(question, asked),
+            self._make_criteria(question, excluded),
             time.monotonic(),
-            self.draw,
+            self.rng,
         )
 
-    def list_everywhere(self, question: Question) -> list[UpstreamState]:
-        """List all upstreams that could run a question, near or not.
+    def list_candidates(self, question: Question) -> list[UpstreamState]:
+        """List all upstreams that could run a request, at any distance.
 
-        :param question: the question; it goes nowhere twice.
-        :returns: the same list at every entry that knows the same.
+        :param question: the request; upstreams that it was sent to already
+            are left out.
+        :returns: the upstreams, the same at all entries with the same state.
         """
         return find_usable(
             list(self.replicas.upstreams.values()),
-            self._make_ask(question, NOBODY_ASKED),
+            self._make_criteria(question, NONE_EXCLUDED),
             time.monotonic(),
         )
 
-    def _make_ask(self, question: Question, asked: Set[str]) -> Ask:
-        shared = question.head.prompt_parts[:-1]
+    def _make_criteria(self, question: Question, excluded: Set[str]) -> Ask:
+        shared_parts = question.head.prompt_parts[:-1]
         return Ask(
             service=question.service,
             model='',
-            affinity=shared[-1] if shared else '',
+            affinity=shared_parts[-1] if shared_parts else '',
             data_centre=self.settings.data_centre,
             region=self.settings.region,
-            excluded=frozenset(question.tried | asked),
+            excluded=frozenset(question.tried | excluded),
         )
--- a/src/wigeonpier/hosted/reservations.py
+++ b/src/wigeonpier/hosted/reservations.py
@@ -1,4 +1,4 @@
-"""Sets slots of the upstream on this VM aside for questions on their way."""
+"""Reserves slots of the upstream on this VM for requests about to be sent."""
 
 from __future__ import annotations
 
@@ -30,32 +30,35 @@
     from wigeonpier.policy.trial import TrialTable
 
 RESERVATION_PATH = '/reservation'
-# Has room for unreported requests of some hundred customers.
-MOST_ASK_BYTES = 64_000
-# A look at the upstream on the same VM takes about a millisecond; one that is
-# this young is as good.
-FRESH_SECONDS = 0.01
+# Holds the unreported counts of some hundred customers.
+MAX_REQUEST_BYTES = 64_000
+# Polling the upstream on the same VM takes about 1 ms, which a load report of
+# this age saves.
+MAX_LOAD_AGE_SECONDS = 0.01
 
 
 class SlotTable:
-    """Slots that are set aside until the upstream shows their questions."""
+    """Slots reserved for requests that the upstream does not report yet."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an empty table."""
         self._reserved: list[float] = []
 
     def add(self, now: float) -> None:
-        """Set one slot aside.
+        """Reserve one slot.
 
-        :param now: seconds of the steady clock.
+        :param now: seconds of the monotonic clock.
         """
         self._reserved.append(now)
 
     def count(self, looked_at: float) -> int:
-        """Count the slots whose questions a look did not show yet.
+        """Count the reservations whose requests the load does not include.
 
-        :param looked_at: when the upstream was asked for its load.
-        :returns: slots; older ones are given back.
+        Older reservations are dropped.
+
+        :param looked_at: when the upstream was polled for its load, seconds of
+            the monotonic clock.
+        :returns: number of slots.
         """
         oldest = looked_at - ARRIVAL_SECONDS
         self._reserved = [made for made in self._reserved if made > oldest]
@@ -63,24 +66,32 @@
 
 
 class ReservationHandler:
-    """Answers entries that ask for a slot."""
+    """Handles the reservation requests of entries."""
 
     def __init__(
         self,
         upstream: OwnUpstream,
         runner: ItemRunner,
         feed: LoadFeed,
-        book: SlotTable,
+        slots: SlotTable,
         trials: TrialTable,
         usage: UsageCounter,
     ) -> None:
-        """Set slots of the upstream aside; the runner's items give way."""
+        """Create the handler.
+
+        :param upstream: the upstream on this VM.
+        :param runner: runs batch items, which reservations preempt.
+        :param feed: measures the load of the upstream.
+        :param slots: reserved slots.
+        :param trials: suspected requests at the upstream.
+        :param usage: counts the requests of customers.
+        """
         self._usage = usage
         self._trials = trials
         self._upstream = upstream
         self._runner = runner
         self._feed = feed
-        self._book = book
+        self._slots = slots
 
     def make_routes(self) -> list[Route]:
         """List the paths for entries.
@@ -91,36 +102,36 @@
 
     def _answer(self, request: Request) -> Response:
         now = time.monotonic()
-        asked = _read_ask(request)
-        # Counted whatever becomes of the question here.
-        self._usage.add(asked.admitted)
-        if now - self._upstream.looked_at > FRESH_SECONDS:
+        reservation = _read_reservation(request)
+        # These requests count whether or not this reservation is granted.
+        self._usage.add(reservation.admitted)
+        if now - self._upstream.looked_at > MAX_LOAD_AGE_SECONDS:
             self._upstream.look()
         replica = self._upstream.replica
         if replica is None:
             raise Refusal(ErrorKind.no_upstream, 'the upstream is not known')
         load = self._feed.measure()
-        reserved = self._book.count(self._upstream.looked_at)
-        obstacle = self._find_obstacle(asked.trial, now)
+        reserved = self._slots.count(self._upstream.looked_at)
+        obstacle = self._find_obstacle(reservation.trial, now)
         is_granted = (
             not obstacle
             and load.takes_work
             and may_reserve(
                 SlotUse(replica.slots, load.questions, reserved),
-                is_late=asked.is_late,
+                is_late=reservation.is_late,
             )
         )
         if is_granted:
-            self._grant(asked.trial, now)
-        told = Reservation(
+            self._grant(reservation.trial, now)
+        answer = Reservation(
             is_granted,
             replace(load, questions=load.questions + reserved),
             obstacle,
         )
-        return Response(HTTPStatus.OK, msgspec.json.encode(told), JSON_TYPE)
+        return Response(HTTPStatus.OK, msgspec.json.encode(answer), JSON_TYPE)
 
     def _find_obstacle(self, trial: TrialAsk | None, now: float) -> str:
-        """Tell what keeps a suspected question away, empty for nothing."""
+        """Find the verdict that excludes a suspected request, or ``''``."""
         if trial is None:
             return ''
         company = Company(trial.company)
@@ -128,13 +139,13 @@
         return '' if verdict is Verdict.granted else verdict.value
 
     def _grant(self, trial: TrialAsk | None, now: float) -> None:
-        self._book.add(now)
+        self._slots.add(now)
         self._runner.make_room()
         if trial is not None:
             company = Company(trial.company)
             self._trials.enter(trial.fingerprint, company, now)
 
 
-def _read_ask(request: Request) -> ReservationAsk:
-    request.body_limit = MOST_ASK_BYTES
+def _read_reservation(request: Request) -> ReservationAsk:
+    request.body_limit = MAX_REQUEST_BYTES
     return decode_body(request.read_body(), ReservationAsk)
--- a/src/wigeonpier/hosted/reserver.py
+++ b/src/wigeonpier/hosted/reserver.py
@@ -1,4 +1,4 @@
-"""Asks the process beside an upstream to set a slot aside."""
+"""Reserves slots at the worker of an upstream."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Answer(StrEnum):
-    """What became of a question for a slot."""
+    """Outcome of a reservation request; the values are metric labels."""
 
     granted = 'granted'
     refused = 'refused'
@@ -34,7 +34,7 @@
 
 
 class SlotReserver:
-    """Asks for slots, and learns the load from each answer."""
+    """Reserves slots and records the load that each response reports."""
 
     def __init__(
         self,
@@ -43,7 +43,13 @@
         metrics: Metrics,
         limiter: CustomerLimiter,
     ) -> None:
-        """Ask at this port of the upstreams' VMs."""
+        """Create the reserver.
+
+        :param port: port of the workers on the upstreams' VMs.
+        :param pool: connections to the workers.
+        :param metrics: metrics of this process.
+        :param limiter: holds the counts that requests carry along.
+        """
         self._limiter = limiter
         self._port = port
         self._pool = pool
@@ -52,19 +58,19 @@
     def ask(
         self,
         upstream: UpstreamState,
-        patience: float,
+        timeout: float,
         *,
         is_late: bool,
         trial: TrialAsk | None = None,
     ) -> Answer:
-        """Ask for a slot.
+        """Request a slot.
 
-        :param upstream: where; its load is brought up to date.
-        :param patience: longest wait for the answer, seconds.
-        :param is_late: whether the question is late already.
-        :param trial: of a suspected question, ``None`` for another one.
-        :returns: whether a slot is set aside; where nobody answers the
-            upstream is left out until its load is told again.
+        :param upstream: the upstream; its load is updated.  If its worker does
+            not respond, it gets no work until its load is reported again.
+        :param timeout: longest wait for the response, seconds.
+        :param is_late: whether the request has exceeded its latency objective.
+        :param trial: trial of a suspected request, ``None`` for any other.
+        :returns: the outcome.
         """
         host = split_address(upstream.address)[0]
         address = f'{host}:{self._port}'
@@ -72,19 +78,20 @@
         body = msgspec.json.encode(ReservationAsk(is_late, trial, admitted))
         headers = [('Host', address)]
         raw = make_request('POST', RESERVATION_PATH, headers, body)
-        called = self._pool.call(address, raw, patience)
+        called = self._pool.call(address, raw, timeout)
         if isinstance(called, Err):
             self._limiter.restore_unreported(admitted)
             upstream.takes_work = False
             return self._count(Answer.unanswered)
         if not called.ok_value.is_good:
-            # It does not know its upstream yet, or no reservations.
+            # The worker does not know its upstream yet, or does not support
+            # reservations.
             return self._count(Answer.unanswered)
-        told = called.ok_value.decode(Reservation)
-        note_load(upstream, told.load, time.monotonic())
-        if told.is_granted:
+        reservation = called.ok_value.decode(Reservation)
+        note_load(upstream, reservation.load, time.monotonic())
+        if reservation.is_granted:
             return self._count(Answer.granted)
-        return self._count(Answer(told.trial or Answer.refused))
+        return self._count(Answer(reservation.trial or Answer.refused))
 
     def _count(self, answer: Answer) -> Answer:
         self._metrics.count('reservations_total', outcome=answer.value)
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -1,4 +1,4 @@
-"""Finds places for suspected questions, apart from each other."""
+"""Places suspected requests at upstreams, isolated from each other."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from wigeonpier.policy.route import UpstreamState
 
 # For routes without a latency objective.
-LEAST_ASK_SECONDS = 0.05
+MIN_RESERVATION_TIMEOUT_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class TrialPlacer:
-    """Asks beside upstreams who else is suspected there.
+    """Reserves slots where suspected requests may run.
 
     :param chooser: chooses among upstreams.
-    :param reserver: asks for slots.
-    :param suspects: judges questions.
+    :param reserver: reserves slots; the workers check the isolation.
+    :param suspects: knows the upstream versions that a request crashed.
     """
 
     chooser: UpstreamChooser
@@ -43,81 +43,87 @@
         question: Question,
         standing: Standing,
     ) -> UpstreamState | None:
-        """Find a place for a suspected question.
+        """Reserve a slot for a suspected request.
 
-        :param question: the question; it notes what runs beside it.
-        :param standing: how it may be run.
-        :returns: where it may run now, ``None`` where it has to wait.
+        :param question: the request; its isolation is set.
+        :param standing: how it may run.
+        :returns: the upstream, ``None`` if the request has to wait.
         """
         if standing is Standing.alone:
-            return self._find_lone(question)
-        return self._find_drawn(
+            return self._find_exclusive(question)
+        return self._find_shared(
             question,
             Company.latecomers,
-        ) or self._find_drawn(question, Company.anybody)
+        ) or self._find_shared(question, Company.anybody)
 
     def find_late(self, question: Question) -> UpstreamState | None:
-        """Find a place for a suspected question that can wait no longer.
+        """Reserve a slot for a suspected request that can wait no longer.
 
-        :param question: the question; it notes what runs beside it.
-        :returns: a place, but not beside one that runs alone.
+        :param question: the request; its isolation is set.
+        :returns: an upstream at which no other suspected request runs alone,
+            ``None`` if there is none.
         """
-        return self._find_drawn(question, Company.anybody)
+        return self._find_shared(question, Company.anybody)
 
-    def _find_drawn(
+    def _find_shared(
         self,
         question: Question,
         company: Company,
     ) -> UpstreamState | None:
-        return self._ask_each(question, self._draw_places(question), company)
+        return self._try_each(question, self._draw_upstreams(question), company)
 
-    def _find_lone(self, question: Question) -> UpstreamState | None:
-        """Find the place that all entries try first for the same request.
+    def _find_exclusive(self, question: Question) -> UpstreamState | None:
+        """Reserve a slot where the request runs alone.
 
-        The process beside it then sees all its repeats, and grants one.
+        All entries try the same upstream first for the same request, so that
+        the worker there sees all its repeats and admits one at a time.
         """
         tried = self.suspects.list_tried_versions(question)
         usable = {
             state.name: state
-            for state in self.chooser.list_everywhere(question)
+            for state in self.chooser.list_candidates(question)
             if state.version not in tried
         }
         ranked = rank_by_key(list(usable), question.fingerprint)[:MOST_ASKS]
-        places = (usable[name] for name in ranked)
-        return self._ask_each(question, places, Company.nobody)
-
-    def _draw_places(self, question: Question) -> Iterator[UpstreamState]:
-        asked: set[str] = set()
-        while len(asked) < MOST_ASKS:
-            drawn = self.chooser.choose(question, asked)
-            if drawn is None:
+        upstreams = (usable[name] for name in ranked)
+        return self._try_each(question, upstreams, Company.nobody)
+
+    def _draw_upstreams(self, question: Question) -> Iterator[UpstreamState]:
+        excluded: set[str] = set()
+        while len(excluded) < MOST_ASKS:
+            upstream = self.chooser.choose(question, excluded)
+            if upstream is None:
                 return
-            asked.add(drawn.name)
-            yield drawn
+            excluded.add(upstream.name)
+            yield upstream
 
-    def _ask_each(
+    def _try_each(
         self,
         question: Question,
-        places: Iterable[UpstreamState],
+        upstreams: Iterable[UpstreamState],
         company: Company,
     ) -> UpstreamState | None:
         trial = TrialAsk(question.fingerprint, company.value)
         unanswered = None
-        for place in places:
+        for upstream in upstreams:
             answer = self.reserver.ask(
-                place,
-                max(question.route.objective * ASK_SHARE, LEAST_ASK_SECONDS),
+                upstream,
+                max(
+                    question.route.objective * ASK_SHARE,
+                    MIN_RESERVATION_TIMEOUT_SECONDS,
+                ),
                 is_late=False,
                 trial=trial,
             )
             question.asks += 1
             if answer is Answer.granted:
                 question.company = company.value
-                return place
+                return upstream
             if answer is Answer.running:
                 return None
             if answer is Answer.unanswered:
-                unanswered = unanswered or place
-        # Where nobody stands beside an upstream, or its next start is not
-        # known there yet, a run proves nothing: who is to run alone waits.
+                unanswered = unanswered or upstream
+        # Without a worker that knows the upstream's current start, other
+        # suspected requests may run there too, and a run proves nothing.
+        # A request that has to run alone therefore waits.
         return None if company is Company.nobody else unanswered
--- a/src/wigeonpier/hosted/usagecounter.py
+++ b/src/wigeonpier/hosted/usagecounter.py
@@ -1,9 +1,9 @@
-"""Counts requests of customers beside an upstream, and tells them to entries.
+"""Counts the requests of customers at a worker and reports them to entries.
 
-Entries say with what they ask anyway how many requests they have admitted; all
-entries that follow the load hear of it on the connection that is open for
-that.  The counts outlive entries, and what entries have heard outlives the
-process that counted.
+Entries report the requests that they have admitted along with their slot
+reservations.  The counter sends the totals to all entries on the load feed.
+The counts survive a restart of entries, and the totals that entries have
+received survive a restart of the worker.
 """
 
 from __future__ import annotations
@@ -24,18 +24,19 @@
     from collections.abc import Mapping
 
 USAGE_PATH = '/usage'
-MOST_USAGE_BYTES = 500_000
-START_BYTES = 6
+MAX_USAGE_BYTES = 500_000
+START_ID_BYTES = 6
 
 
 class UsageNews(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a process beside an upstream tells of customers.
-
-    :param start: tells its starts apart.
-    :param totals: requests of each customer since the start, where that has
-        changed since it was told last.
-    :param recent: requests of each customer in the span, told at first.
-    :param age: seconds since the start, told at first.
+    """Report of a worker on the requests of customers.
+
+    :param start: id of the worker's current start.
+    :param totals: requests since that start, of each customer whose number has
+        changed since the last report.
+    :param recent: requests of each customer within the quota window, in the
+        first report only.
+    :param age: seconds since the start, in the first report only.
     """
 
     start: str
@@ -45,12 +46,15 @@
 
 
 class UsageCounter:
-    """Requests of customers that entries have told here."""
+    """Counts the requests of customers that entries report."""
 
     def __init__(self, span: float) -> None:
-        """Count over a span, in seconds."""
+        """Create the counter.
+
+        :param span: length of the quota window, seconds.
+        """
         self._span = span
-        self._start = secrets.token_hex(START_BYTES)
+        self._start = secrets.token_hex(START_ID_BYTES)
         self._started_at = time.monotonic()
         self._totals: Counter[str] = Counter()
         self._windows: dict[str, Window] = {}
@@ -60,12 +64,13 @@
 
         :returns: the routes.
         """
-        return [make_route('POST', USAGE_PATH, self._take)]
+        return [make_route('POST', USAGE_PATH, self._add_reported)]
 
     def add(self, admitted: Mapping[str, int]) -> None:
         """Count requests that an entry has admitted.
 
-        :param admitted: by customer; below zero for those that did not run.
+        :param admitted: number by customer, negative for requests that were
+            admitted earlier and did not run.
         """
         now = time.monotonic()
         for customer, count in admitted.items():
@@ -74,9 +79,9 @@
             spend(window, count, now)
 
     def describe_all(self) -> UsageNews:
-        """Tell everything to who may know nothing.
+        """Make the first report for a follower.
 
-        :returns: the news.
+        :returns: the report, with all counts.
         """
         now = time.monotonic()
         recent = {
@@ -91,10 +96,10 @@
         )
 
     def describe_changes(self, known: dict[str, int]) -> UsageNews | None:
-        """Tell what has changed since a follower was told.
+        """Make a report of what has changed since a follower's last one.
 
-        :param known: totals that it knows; brought up to date.
-        :returns: the news, ``None`` where there is none.
+        :param known: totals that the follower has; they are updated.
+        :returns: the report, ``None`` if nothing has changed.
         """
         if known == self._totals:
             return None
@@ -106,7 +111,7 @@
         known |= changed
         return UsageNews(self._start, changed)
 
-    def _take(self, request: Request) -> Response:
-        request.body_limit = MOST_USAGE_BYTES
+    def _add_reported(self, request: Request) -> Response:
+        request.body_limit = MAX_USAGE_BYTES
         self.add(decode_body(request.read_body(), dict[str, int]))
         return Response(HTTPStatus.OK, b'{}')
