--- a/src/wigeonpier/hosted/customeruse.py
+++ b/src/wigeonpier/hosted/customeruse.py
@@ -108,19 +108,19 @@
         bounds: Bounds,
         pool: ConnectionPool,
         list_counters: Callable[[], list[str]],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         """Create the limiter.
 
         :param bounds: guarantees that the site is configured with.
         :param pool: connections to the counters.
         :param list_counters: lists ``host:port`` of each counter in contact.
-        :param draw: source of randomness.
+        :param rng: source of randomness.
         """
         self._bounds = bounds
         self._pool = pool
         self._list_counters = list_counters
-        self._draw = draw
+        self._rng = rng
         self._accounts: dict[str, Account] = {}
         self._counters: dict[str, CounterState] = {}
         # Requests that have not been reported yet.
@@ -150,7 +150,7 @@
             self._bounds.quota_slack,
         )
         use = self._measure(account, now)
-        if self._draw.random() >= allowance.estimate_admission(limit, use):
+        if self._rng.random() >= allowance.estimate_admission(limit, use):
             account.refused += 1
             log_event(
                 Event.customer_limited,
@@ -196,7 +196,7 @@
         """
         self._unreported.update(unreported)
 
-    def note_contact(self, host: str) -> None:
+    def record_contact(self, host: str) -> None:
         """Record that a counter has sent something.
 
         :param host: address of its VM.
@@ -217,7 +217,7 @@
                 for name, total in report.totals.items()
             }
         else:
-            self._note_restart(counter, report, now)
+            self._record_restart(counter, report, now)
             increments = report.recent
         counter.contact_at = now
         counter.totals |= report.totals
@@ -248,7 +248,7 @@
         now = time.monotonic()
         return sum(_is_in_contact(one, now) for one in self._counters.values())
 
-    def _note_restart(
+    def _record_restart(
         self,
         counter: CounterState,
         report: UsageNews,
@@ -323,7 +323,7 @@
         now: float,
     ) -> Refusal:
         wait = time_until_available([account.reported], limit.requests, 1, now)
-        jitter = self._draw.uniform(*RETRY_JITTER)
+        jitter = self._rng.uniform(*RETRY_JITTER)
         seconds = max(wait, allowance.UNSEEN_SECONDS) * jitter
         maximum = round(limit.requests)
         return Refusal(
@@ -338,7 +338,7 @@
         if not counters:
             return
         unreported = self.take_unreported()
-        address = self._draw.choice(counters)
+        address = self._rng.choice(counters)
         body = msgspec.json.encode(unreported)
         raw = make_request('POST', USAGE_PATH, [('Host', address)], body)
         called = self._pool.call(address, raw, REPORT_TIMEOUT_SECONDS)
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -255,7 +255,7 @@
     def _note_load(self, host: str, load: QuestionLoad) -> None:
         self._reach.note_contact()
         self._relays.note(host, has_store=load.has_store)
-        self._limiter.note_contact(host)
+        self._limiter.record_contact(host)
 
     def _list_counters(self) -> list[str]:
         """List the processes that count requests and are heard now."""
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -167,7 +167,7 @@
         objective = self.route.objective
         return Waited(total / objective, here / objective)
 
-    def note_send(self, upstream: UpstreamState) -> None:
+    def record_send(self, upstream: UpstreamState) -> None:
         """Record that the request is sent.
 
         :param upstream: the upstream that it is sent to.
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -65,7 +65,7 @@
         configuration: ConfigurationWatch,
         sender: QuestionSender,
         metrics: Metrics,
-        draw: random.Random,
+        rng: random.Random,
         limiter: CustomerLimiter,
     ) -> None:
         """Create the handler.
@@ -73,14 +73,14 @@
         :param configuration: current configuration.
         :param sender: sends requests to upstreams.
         :param metrics: metrics of this process.
-        :param draw: source of randomness.
+        :param rng: source of randomness.
         :param limiter: admits requests within the customers' limits.
         """
         self._limiter = limiter
         self._configuration = configuration
         self._sender = sender
         self._metrics = metrics
-        self._draw = draw
+        self._rng = rng
 
     def answer(self, arrival: Arrival) -> Response:
         """Answer one request.
@@ -112,7 +112,7 @@
             request=arrival.request,
             head=arrival.head,
             route=route,
-            service=draw_service(route, self._draw),
+            service=draw_service(route, self._rng),
             body=arrival.request.read_body(),
             began_at=now,
             give_up_at=now + min(timeout, route.timeout),
@@ -150,9 +150,9 @@
         except OSError as error:
             failure = classify_disconnect(error)
             question.release(is_broken=True)
-            self._sender.note_failure(question, upstream, failure)
+            self._sender.record_failure(question, upstream, failure)
             raise Refusal(ErrorKind.upstream_lost, str(error)) from error
-        self._sender.binder.suspects.note_completed(question, upstream)
+        self._sender.binder.suspects.record_completion(question, upstream)
         return body
 
     def _stream(self, question: Question) -> Iterator[bytes]:
@@ -183,7 +183,9 @@
                 return classify_disconnect(error)
             if event is None:
                 note_outcome(upstream, went_well=True, now=time.monotonic())
-                self._sender.binder.suspects.note_completed(question, upstream)
+                self._sender.binder.suspects.record_completion(
+                    question, upstream
+                )
                 return None
             question.resume_after = event.identity or question.resume_after
             has_events = True
@@ -200,7 +202,7 @@
     ) -> None:
         upstream, _exchange = _get_current(question)
         question.release(is_broken=True)
-        self._sender.note_failure(question, upstream, failure)
+        self._sender.record_failure(question, upstream, failure)
         sent = self._sender.send(question)
         if isinstance(sent, Err) and not question.first_event_at:
             # No byte of the response has been sent, so an error response is
@@ -217,7 +219,7 @@
 
     def _refuse(self, question: Question, failure: SendFailure) -> Refusal:
         if failure is SendFailure.condemned:
-            self._sender.binder.suspects.note_refusal(question)
+            self._sender.binder.suspects.record_refusal(question)
         return _make_refusal(question, failure)
 
     def _finish(self, question: Question, outcome: str) -> None:
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -78,7 +78,7 @@
             return Err(SendFailure.condemned)
         return outcome
 
-    def note_failure(
+    def record_failure(
         self,
         question: Question,
         upstream: UpstreamState,
@@ -108,9 +108,9 @@
             and self.binder.suspects.detect_crash(upstream)
         )
         if has_crashed and failure is SendFailure.lost:
-            self.binder.suspects.note_crash(question, upstream)
+            self.binder.suspects.record_crash(question, upstream)
         elif failure is SendFailure.lost:
-            self.binder.suspects.note_possible_crash(question, upstream)
+            self.binder.suspects.record_possible_crash(question, upstream)
             # If it ran alone, this may be the crash that gets it refused,
             # which is known as soon as the crash is confirmed.
             question.is_retry_blocked = (
@@ -156,7 +156,7 @@
 
         :raises CallerGoneError: when the caller has disconnected.
         """
-        self.note_failure(question, upstream, failure)
+        self.record_failure(question, upstream, failure)
         if failure is SendFailure.late:
             self._step_back(question, upstream)
 
@@ -165,7 +165,7 @@
         question: Question,
         upstream: UpstreamState,
     ) -> Result[Exchange, SendFailure]:
-        question.note_send(upstream)
+        question.record_send(upstream)
         opened = self.pool.begin(
             upstream.address,
             question.seconds_left,
@@ -186,7 +186,7 @@
             question.release(is_broken=True)
             return Err(classify_disconnect(error))
         self.binder.reach.note_contact()
-        _note_load(upstream, exchange)
+        _record_load(upstream, exchange)
         failure = _check_head(question, upstream, exchange)
         if failure is not None:
             question.release(is_broken=failure is SendFailure.foreign_answer)
@@ -314,7 +314,7 @@
     )
 
 
-def _note_load(upstream: UpstreamState, exchange: Exchange) -> None:
+def _record_load(upstream: UpstreamState, exchange: Exchange) -> None:
     """Record the load that a response reports, unless a load feed is open."""
     if upstream.fed_until > time.monotonic():
         return
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -104,7 +104,7 @@
             return True
         return False
 
-    def note_crash(self, question: Question, upstream: UpstreamState) -> None:
+    def record_crash(self, question: Question, upstream: UpstreamState) -> None:
         """Count a crash of an upstream against a request that ran there.
 
         :param question: the request that was lost.
@@ -126,7 +126,7 @@
         if news.ends:
             self.quarantine.note(question.fingerprint)
 
-    def note_possible_crash(
+    def record_possible_crash(
         self, question: Question, upstream: UpstreamState
     ) -> None:
         """Record a lost connection to an upstream that may still be running.
@@ -166,7 +166,7 @@
                 self.publisher.publish(news, upstream.address)
                 self.quarantine.note(loss.fingerprint)
 
-    def note_completed(
+    def record_completion(
         self, question: Question, upstream: UpstreamState
     ) -> None:
         """Clear a request that ran to completion.
@@ -179,7 +179,7 @@
         news = self.suspicions.clear(question.fingerprint)
         self.publisher.publish(news, upstream.address)
 
-    def note_refusal(self, question: Question) -> None:
+    def record_refusal(self, question: Question) -> None:
         """Record that a request is refused because it crashes upstreams.
 
         :param question: the request.
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -43,7 +43,7 @@
     sender = build_sender(12, 12)
     current = sender.binder.replicas.list_upstreams()[0]
     question = make_question(waited=1.0, has_begun=has_begun)
-    question.note_send(current)
+    question.record_send(current)
     if has_begun:
         sender._check_queue(question, current)
         return
@@ -56,7 +56,7 @@
     sender = build_sender(12)
     current = sender.binder.replicas.list_upstreams()[0]
     question = make_question(waited=1.0)
-    question.note_send(current)
+    question.record_send(current)
     sender._check_queue(question, current)
 
 
