--- a/src/wigeonpier/hosted/arrival.py
+++ b/src/wigeonpier/hosted/arrival.py
@@ -1,4 +1,4 @@
-"""A request that arrived on a route, read, routed and identified once."""
+"""Parses an incoming request, finds its route and authenticates its caller."""
 
 from __future__ import annotations
 
@@ -21,18 +21,19 @@
     )
     from wigeonpier.web.messages import Request
 
-# Another entry may know more, and is asked at once.
-ELSEWHERE_SECONDS = 0.05
+# Another entry may have a newer configuration and can serve the retry at once.
+RETRY_ELSEWHERE_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request, its route, and who asks.
+    """A request with its route and customer.
 
-    :param request: as it came, less the key, with the limit of its body.
-    :param head: what its headers say.
+    :param request: the HTTP request, without the key and with the limit of
+        its body set.
+    :param head: its parsed headers.
     :param route: its route.
-    :param customer: who asks, ``None`` where nobody needs a key.
+    :param customer: the authenticated customer, ``None`` if no key is needed.
     """
 
     request: Request
@@ -42,35 +43,35 @@
 
     @property
     def priority(self) -> int:
-        """Give the rank, the customer's before the route's."""
+        """Give the customer's priority or, by default, the route's."""
         if self.customer is None or self.customer.priority is None:
             return self.route.priority
         return self.customer.priority
 
 
-def receive(
+def route_request(
     request: Request,
     configuration: ServedConfiguration | None,
     knowledge: Knowledge,
 ) -> Arrival:
-    """Read the headers of a request, find its route and who asks.
-
-    :param request: the caller's; its key is taken out.
-    :param configuration: configuration in force, if any is known.
-    :param knowledge: how far that can be trusted.
-    :returns: the request with its route.
-    :raises Refusal: where there is no route or no right, or that cannot be
-        known now.
+    """Parse the headers of a request, find its route and authenticate it.
+
+    :param request: the request; its key is removed and its customer set.
+    :param configuration: current configuration, ``None`` if none was read yet.
+    :param knowledge: how recently it was confirmed to be the newest.
+    :returns: the request with its route and customer.
+    :raises Refusal: when there is no route, the key is invalid, or the
+        configuration is missing or too old to authenticate the caller.
     """
     key = ingress.take_key(request)
     if configuration is None:
-        raise refuse_unknowing()
+        raise make_not_ready_refusal()
     head = ingress.read_question(request)
     route = match_route(configuration, head.host, request.path)
     if route is None:
         raise Refusal(ErrorKind.not_found, f'no route for {request.path}')
     request.body_limit = configuration.body_limit
-    customer = find_customer(
+    customer = require_customer(
         request,
         identify(configuration, key, knowledge, is_open=route.is_open),
         knowledge,
@@ -79,27 +80,28 @@
     return Arrival(request, head, route, customer)
 
 
-def receive_job_call(
+def authenticate_job_call(
     request: Request,
     configuration: ServedConfiguration | None,
     knowledge: Knowledge,
 ) -> None:
-    """Find out who asks for a job.
+    """Authenticate the caller of a request on an existing job.
 
-    :param request: the caller's; its key is taken out, its customer set.
-    :param configuration: configuration in force, if any is known.
-    :param knowledge: how far that can be trusted.
-    :raises Refusal: where the caller has no right, or that cannot be known.
+    :param request: the request; its key is removed and its customer set.
+    :param configuration: current configuration, ``None`` if none was read yet.
+    :param knowledge: how recently it was confirmed to be the newest.
+    :raises Refusal: when the key is invalid, or the configuration is missing
+        or too old to authenticate the caller.
     """
     key = ingress.take_key(request)
     if configuration is None:
-        raise refuse_unknowing()
+        raise make_not_ready_refusal()
     host = ingress.read_question(request).host
-    # A job that came without a key is read without one.
+    # A job that was submitted without a key is read without one.
     is_open = not key and any(
         route.is_open for route in configuration.routes if route.host == host
     )
-    customer = find_customer(
+    customer = require_customer(
         request,
         identify(configuration, key, knowledge, is_open=is_open),
         knowledge,
@@ -107,18 +109,19 @@
     request.customer = customer.name if customer else ''
 
 
-def find_customer(
+def require_customer(
     request: Request,
     identity: Identity,
     knowledge: Knowledge,
 ) -> ServedCustomer | None:
-    """Find out who asks.
-
-    :param request: the caller's, for the log.
-    :param identity: what its key says.
-    :param knowledge: how far the configuration can be trusted.
-    :returns: the customer, ``None`` where nobody needs a key.
-    :raises Refusal: where the caller has no right, or that cannot be known.
+    """Return the customer of a request, or refuse the request.
+
+    :param request: the request, for the log.
+    :param identity: result of checking its key.
+    :param knowledge: how recently the configuration was confirmed to be the
+        newest.
+    :returns: the customer, ``None`` if no key is needed.
+    :raises Refusal: when the key is invalid or cannot be checked now.
     """
     if identity.verdict is Verdict.admitted:
         return identity.customer
@@ -134,12 +137,12 @@
     raise Refusal(
         ErrorKind.not_ready,
         f'what is known of keys is {knowledge.age:.1f} s old',
-        retry_seconds=ELSEWHERE_SECONDS,
+        retry_seconds=RETRY_ELSEWHERE_SECONDS,
     )
 
 
-def refuse_unknowing() -> Refusal:
-    """Refuse what a process cannot judge that has read no configuration.
+def make_not_ready_refusal() -> Refusal:
+    """Make the error response of a process without a configuration.
 
     :returns: the refusal.
     """
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -1,4 +1,4 @@
-"""Composition root of the entry: questions and the calls of batch jobs."""
+"""Composition root of the entry: online requests and calls on batch jobs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.hosted.acceptance import JobAcceptor
-from wigeonpier.hosted.arrival import receive, receive_job_call
+from wigeonpier.hosted.arrival import authenticate_job_call, route_request
 from wigeonpier.hosted.binder import SlotBinder
 from wigeonpier.hosted.chooser import UpstreamChooser
 from wigeonpier.hosted.configuration import ConfigurationWatch
@@ -22,7 +22,7 @@
 from wigeonpier.hosted.knowledge import ConfigurationKnowledge
 from wigeonpier.hosted.ledger import JobLedger
 from wigeonpier.hosted.loadfollower import FeedListeners, LoadFollower
-from wigeonpier.hosted.proofs import ToldProofs
+from wigeonpier.hosted.proofs import FreshnessProver
 from wigeonpier.hosted.quarantine.publisher import QuarantinePublisher
 from wigeonpier.hosted.quarantine.store import QuarantineStore
 from wigeonpier.hosted.questions import RETRY_ELSEWHERE_SECONDS, QuestionHandler
@@ -56,17 +56,20 @@
     from wigeonpier.models import QuestionLoad
     from wigeonpier.web.messages import Request
 
-# The balancer asks once a second and takes a process out after two misses.
-NOTICED_SECONDS = 2.6
+# The balancer probes once a second and removes a process after two failures.
+BALANCER_NOTICE_SECONDS = 2.6
 JOB_PATTERN = re.compile(ingress.JOB_PATTERN)
 ITEM_PATTERN = re.compile(ingress.ITEM_PATTERN)
 
 
 class EntryApp:
-    """The entry: questions and the calls of batch jobs."""
+    """The entry: serves online requests and calls on batch jobs."""
 
     def __init__(self, common: Common) -> None:
-        """Wire the entry; nothing runs yet."""
+        """Wire the components; none is started yet.
+
+        :param common: what all daemons share.
+        """
         settings = common.settings
         self._common = common
         self._is_leaving = False
@@ -84,7 +87,7 @@
         self._knowledge = ConfigurationKnowledge(
             self._configuration,
             settings.bounds.revocation,
-            ToldProofs(
+            FreshnessProver(
                 common.store,
                 self._configuration,
                 common.pool,
@@ -117,8 +120,8 @@
             common.pool,
             common.draw,
             FeedListeners(
-                self._note_load,
-                self._receive_news,
+                self._record_load,
+                self._receive_update,
                 self._publisher.publish_all,
                 self._limiter.record_report,
             ),
@@ -135,15 +138,15 @@
             settings,
             ledger,
             common.pool,
-            on_board=self._take_board,
+            on_board=self._load_board,
             wait=common.contact.wait,
         )
-        self._copies = QuarantinePublisher(
+        self._quarantine_copies = QuarantinePublisher(
             common.pool,
             lambda: self._holder.board.disks.values(),
-            self._quarantine.take,
+            self._quarantine.load,
         )
-        self._quarantine.hold = self._copies.hold
+        self._quarantine.replicate = self._quarantine_copies.replicate
         views = JobViews(ledger, self._holder.is_held)
         self._jobs = JobHandler(
             ledger,
@@ -164,12 +167,12 @@
         )
 
     def start(self) -> str:
-        """Listen and follow the store.
+        """Start all components.
 
-        :returns: address for callers.
+        :returns: address that callers connect to.
         """
         self._serve_operators()
-        for part in (
+        for component in (
             self._balancer,
             self._configuration,
             self._knowledge,
@@ -180,25 +183,25 @@
             self._holder,
             self._callers,
         ):
-            part.start()
+            component.start()
         return self._callers.address
 
     def leave(self, seconds: float) -> int:
-        """Take requests until the balancer has noticed, then drain.
+        """Accept requests until the balancer has noticed, then drain.
 
-        :param seconds: longest time.
-        :returns: requests that are still in hand.
+        :param seconds: longest time for both.
+        :returns: number of requests that are still in flight.
         """
-        give_up = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         self._is_leaving = True
         self._callers.is_closing = True
-        gevent.sleep(min(NOTICED_SECONDS, seconds))
+        gevent.sleep(min(BALANCER_NOTICE_SECONDS, seconds))
         self._is_draining = True
-        return self._callers.drain(give_up - time.monotonic())
+        return self._callers.drain(deadline - time.monotonic())
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether new callers may be sent here."""
+        """Tell whether the balancer may send new callers here."""
         if self._is_leaving or self._reach.is_cut_off:
             return False
         if not self._replicas.view.is_complete:
@@ -252,13 +255,13 @@
         )
         return QuestionSender(binder, common.pool)
 
-    def _note_load(self, host: str, load: QuestionLoad) -> None:
+    def _record_load(self, host: str, load: QuestionLoad) -> None:
         self._reach.note_contact()
         self._relays.note(host, has_store=load.has_store)
         self._limiter.record_contact(host)
 
     def _list_counters(self) -> list[str]:
-        """List the processes that count requests and are heard now."""
+        """List the counters whose load feeds are fresh."""
         port = split_address(self._common.settings.peers)[1]
         now = time.monotonic()
         hosts = [
@@ -268,14 +271,14 @@
         ]
         return [f'{host}:{port}' for host in hosts]
 
-    def _receive_news(self, news: SuspicionNews) -> None:
-        self._publisher.receive(news)
+    def _receive_update(self, update: SuspicionNews) -> None:
+        self._publisher.receive(update)
         if self._common.contact.is_lost:
-            self._quarantine.note_refused_elsewhere(news.condemned)
+            self._quarantine.replicate_refused(update.condemned)
 
-    def _take_board(self, board: Board) -> None:
-        self._quarantine.take(board.refused)
-        self._copies.ask_new(board.disks.values())
+    def _load_board(self, board: Board) -> None:
+        self._quarantine.load(board.refused)
+        self._quarantine_copies.fetch_new(board.disks.values())
 
     def _answer_ready(self, _request: Request) -> Response:
         if self.is_ready:
@@ -290,7 +293,7 @@
             return answer_refusal(refusal)
 
     def _check_open(self) -> None:
-        """Refuse what comes on kept connections too late to be finished."""
+        """Refuse requests on open connections while the entry drains."""
         if self._is_draining:
             raise Refusal(
                 ErrorKind.leaving,
@@ -298,8 +301,11 @@
                 retry_seconds=RETRY_ELSEWHERE_SECONDS,
             )
 
-    def _check_reach(self) -> None:
-        """Refuse what nobody could serve, in time for another entry."""
+    def _check_isolation(self) -> None:
+        """Refuse requests at once while the entry reaches no upstream.
+
+        The caller then has time left to try another entry.
+        """
         if self._reach.is_cut_off:
             raise Refusal(
                 ErrorKind.no_upstream,
@@ -311,18 +317,18 @@
         for pattern, method, call in self._job_calls:
             found = pattern.fullmatch(request.path)
             if found and request.method == method:
-                receive_job_call(
+                authenticate_job_call(
                     request,
                     self._configuration.current,
                     self._knowledge.measure(),
                 )
                 return call(request, found.group(1))
-        arrival = receive(
+        arrival = route_request(
             request,
             self._configuration.current,
             self._knowledge.measure(),
         )
-        self._check_reach()
+        self._check_isolation()
         if arrival.route.kind is RouteKind.batch:
             return self._jobs.hand_in(arrival)
         return self._questions.answer(arrival)
--- a/src/wigeonpier/hosted/proofs.py
+++ b/src/wigeonpier/hosted/proofs.py
@@ -1,4 +1,4 @@
-"""Ways to prove that a configuration is the newest one."""
+"""Confirms that a configuration is the newest one."""
 
 from __future__ import annotations
 
@@ -21,71 +21,77 @@
     from wigeonpier.platform.store import KeyValueStore
     from wigeonpier.web.pool import ConnectionPool
 
-# Processes that read for all entries: one may be lost, and a few hundred
-# entries that ask one of them would press it.
-READERS = 2
-# A reading takes the store 4 ms, and 0.3 s where it is slow.
-ASK_SECONDS = 0.4
+# Number of processes that read for all entries: one may be down, and one alone
+# would be overloaded by a few hundred entries.
+READER_COUNT = 2
+# The store takes 4 ms for a read, and 0.3 s when it is slow.
+REQUEST_TIMEOUT_SECONDS = 0.4
 
 
 @dataclass(frozen=True, slots=True)
-class ToldProofs:
-    """Asks processes that read for all entries, and reads where none does.
+class FreshnessProver:
+    """Gets readings from processes that read the store for all entries.
+
+    Reads the store itself where no such process responds.
 
     :param store: the key-value service.
-    :param configuration: takes in what was read here.
+    :param configuration: updated with what is read from the store here.
     :param pool: connections to the readers.
-    :param list_readers: lists addresses of processes that the store answers.
-    :param draw: source of randomness.
+    :param list_readers: lists addresses of processes that reach the store.
+    :param rng: source of randomness.
     """
 
     store: KeyValueStore
     configuration: ConfigurationWatch
     pool: ConnectionPool
     list_readers: Callable[[], Iterable[str]]
-    draw: random.Random
+    rng: random.Random
 
     def prove(self) -> Reading | None:
-        """Get a reading.
+        """Get a reading of the newest revision.
 
-        :returns: the reading, ``None`` where nobody has one.
+        :returns: the reading, ``None`` if there is none.
         """
-        told = self._ask()
-        # A version newer than the watch has delivered is read at once.
-        if told is not None and told.revision <= self.configuration.revision:
-            return told
+        reading = self._query_reader()
+        # A revision that the watch has not delivered yet is read at once.
+        if (
+            reading is not None
+            and reading.revision <= self.configuration.revision
+        ):
+            return reading
         return read_directly(self.store, self.configuration)
 
-    def _ask(self) -> Reading | None:
-        # All entries that know the same choose the same few.
+    def _query_reader(self) -> Reading | None:
+        # All entries with the same state choose the same readers.
         ranked = rank_by_key(list(self.list_readers()), CONFIGURATION_KEY)
-        readers = ranked[:READERS]
+        readers = ranked[:READER_COUNT]
         if not readers:
             return None
-        address = self.draw.choice(readers)
-        asked_at = read_clock()
+        address = self.rng.choice(readers)
+        requested_at = read_clock()
         raw = make_request('GET', NEWEST_PATH, [('Host', address)])
-        called = self.pool.call(address, raw, ASK_SECONDS)
+        called = self.pool.call(address, raw, REQUEST_TIMEOUT_SECONDS)
         if isinstance(called, Err) or not called.ok_value.is_good:
             return None
-        told = called.ok_value.decode(ToldReading)
-        # Its age here is its age there at least, and the way that it took.
-        return Reading(told.revision, asked_at - told.age)
+        reading = called.ok_value.decode(ToldReading)
+        # Its age here is at most its age at the reader plus the time since the
+        # request was sent.
+        return Reading(reading.revision, requested_at - reading.age)
 
 
 def read_directly(
     store: KeyValueStore,
     configuration: ConfigurationWatch,
 ) -> Reading | None:
-    """Read the operator's key, by whoever carries calls of this process.
+    """Read the configuration from the store, through a relay if necessary.
 
     :param store: the key-value service.
-    :param configuration: takes in what was read.
-    :returns: the reading, ``None`` where the service does not answer.
+    :param configuration: updated with what was read.
+    :returns: the reading, ``None`` if the store does not respond.
     """
-    asked_at = read_clock()
+    requested_at = read_clock()
     read = store.get(CONFIGURATION_KEY)
     if isinstance(read, Err) or read.ok_value is None:
         return None
     configuration.take(read.ok_value)
-    return Reading(read.ok_value.revision, asked_at)
+    return Reading(read.ok_value.revision, requested_at)
--- a/src/wigeonpier/hosted/quarantine/__init__.py
+++ b/src/wigeonpier/hosted/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that are no longer run, and where they are kept."""
+"""Storage of the requests that are no longer run."""
--- a/src/wigeonpier/hosted/quarantine/publisher.py
+++ b/src/wigeonpier/hosted/quarantine/publisher.py
@@ -1,4 +1,4 @@
-"""Copies quarantine entries to disks, and reads them back."""
+"""Copies quarantine entries to disks and reads them back."""
 
 from __future__ import annotations
 
@@ -19,68 +19,69 @@
     from wigeonpier.models import DiskMember
     from wigeonpier.web.pool import ConnectionPool
 
-KEEP_SECONDS = 0.5
-ASK_SECONDS = 0.5
-# Together they outlast the restart of a process.
-TRIES = 6
-PAUSE_SECONDS = 0.3
+WRITE_TIMEOUT_SECONDS = 0.5
+READ_TIMEOUT_SECONDS = 0.5
+# The attempts together outlast the restart of a process.
+READ_ATTEMPTS = 6
+RETRY_DELAY_SECONDS = 0.3
 
 
 class QuarantinePublisher:
-    """Copies entries to disks while the store does not accept them."""
+    """Copies entries to disks while the store does not accept writes."""
 
     def __init__(
         self,
         pool: ConnectionPool,
         list_disks: Callable[[], Iterable[DiskMember]],
-        take: Callable[[Mapping[str, QuarantineEntry]], object],
+        load: Callable[[Mapping[str, QuarantineEntry]], object],
     ) -> None:
-        """Reach the processes with disks.
+        """Create the publisher.
 
-        :param pool: connections to them.
-        :param list_disks: lists who has a disk.
-        :param take: called with what a disk keeps, by fingerprint.
+        :param pool: connections to the processes with disks.
+        :param list_disks: lists these processes.
+        :param load: called with the entries of a disk, by fingerprint.
         """
         self._pool = pool
         self._list_disks = list_disks
-        self._take = take
-        self._asked: set[str] = set()
+        self._load = load
+        self._fetched: set[str] = set()
 
-    def hold(self, fingerprint: str, content: bytes) -> None:
-        """Copy an entry to all disks in reach.
+    def replicate(self, fingerprint: str, content: bytes) -> None:
+        """Copy an entry to all disks, without waiting for the result.
 
-        :param fingerprint: the request.
-        :param content: the entry as the store would keep it.
+        :param fingerprint: digest of the request.
+        :param content: the entry as it is stored.
         """
         for disk in self._list_disks():
             gevent.spawn(self._send, disk, fingerprint, content)
 
-    def ask_new(self, disks: Iterable[DiskMember]) -> None:
-        """Ask each disk once for what the store may not have yet.
+    def fetch_new(self, disks: Iterable[DiskMember]) -> None:
+        """Read the entries of each disk that was not read before.
 
-        A process that starts as the store comes back would serve before the
-        disks have handed over what they keep.
+        The store may not have them yet: a process that starts just as the
+        store recovers would otherwise serve requests before the disks have
+        written their entries to the store.
 
-        :param disks: who has a disk.
+        :param disks: processes with a disk.
         """
         for disk in disks:
-            if disk.name not in self._asked:
-                self._asked.add(disk.name)
-                gevent.spawn(self._ask, disk)
+            if disk.name not in self._fetched:
+                self._fetched.add(disk.name)
+                gevent.spawn(self._fetch, disk)
 
     def _send(self, disk: DiskMember, fingerprint: str, content: bytes) -> None:
         target = f'{QUARANTINE_PATH}/{fingerprint}'
         raw = make_request('PUT', target, [('Host', disk.address)], content)
-        called = self._pool.call(disk.address, raw, KEEP_SECONDS)
+        called = self._pool.call(disk.address, raw, WRITE_TIMEOUT_SECONDS)
         if isinstance(called, Err) or not called.ok_value.is_good:
-            why = f'the disk of {disk.name} did not take it'
+            why = f'the disk of {disk.name} did not store it'
             log_event(Event.refusal_unkept, fingerprint=fingerprint, why=why)
 
-    def _ask(self, disk: DiskMember) -> None:
+    def _fetch(self, disk: DiskMember) -> None:
         raw = make_request('GET', QUARANTINE_PATH, [('Host', disk.address)])
-        for _ in range(TRIES):
-            called = self._pool.call(disk.address, raw, ASK_SECONDS)
+        for _ in range(READ_ATTEMPTS):
+            called = self._pool.call(disk.address, raw, READ_TIMEOUT_SECONDS)
             if not isinstance(called, Err) and called.ok_value.is_good:
-                self._take(called.ok_value.decode(dict[str, QuarantineEntry]))
+                self._load(called.ok_value.decode(dict[str, QuarantineEntry]))
                 return
-            gevent.sleep(PAUSE_SECONDS)
+            gevent.sleep(RETRY_DELAY_SECONDS)
--- a/src/wigeonpier/hosted/quarantine/replica.py
+++ b/src/wigeonpier/hosted/quarantine/replica.py
@@ -1,10 +1,10 @@
-"""Keeps quarantine entries on this disk.
+"""Stores quarantine entries on this disk.
 
-The load that it answers: upstreams crash under a request, and all processes
-are lost before it is refused, or while the store is away.  What they knew is
-gone then, and the request would crash as many upstreams once more.  An
-entry of a refused request stays here until the store has it, one of a
-suspected request for some minutes.
+It guards against the loss of all processes before a request that crashes
+upstreams is refused, or while the store is unavailable.  Without a copy on
+disk, what the processes knew would be lost, and the request would crash as
+many upstreams again.  The entry of a refused request stays here until the
+store has it, that of a suspected request for some minutes.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 
 QUARANTINE_PATH = '/refusals'
 FOLDER = 'refusals'
-# Any other name is not accepted as a file.
-FINGERPRINT = '([0-9a-f]{32})'
-MOST_BYTES = 16_000
-MOST_KEPT = 4096
-# Counted from when it was taken, or from the start of the process.
-SUSPICION_SECONDS = 300.0
-PAUSE_SECONDS = 0.3
+# No other file names are accepted.
+FINGERPRINT_PATTERN = '([0-9a-f]{32})'
+MAX_ENTRY_BYTES = 16_000
+MAX_ENTRIES = 4096
+# Counted from when the entry was received or the process started.
+SUSPICION_TTL_SECONDS = 300.0
+RETRY_DELAY_SECONDS = 0.3
 
 
 class QuarantineReplica:
-    """Accepts entries, serves them, and writes them to the store."""
+    """Stores entries, serves them, and writes them to the store."""
 
     def __init__(
         self,
@@ -56,27 +56,28 @@
         wait: Callable[[float], object],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Open the folder; what lies there is handed over once started.
+        """Read the entries from the folder.
 
         :param folder: data folder of this process.
         :param store: the key-value service.
-        :param wait: waits so many seconds, and for the service's return.
-        :param clock: gives seconds that never jump; the time of day differs
-            between VMs.
+        :param wait: waits for a number of seconds and until the store is
+            available.
+        :param clock: gives the seconds of a monotonic clock; wall clocks
+            differ between VMs.
         """
         self._clock = clock
         self._root = Path(folder) / FOLDER
         self._root.mkdir(parents=True, exist_ok=True)
         self._store = store
         self._wait = wait
-        self._kept = dict(self._read_all())
-        self._kept_at = dict.fromkeys(self._kept, clock())
-        self._wanted = Signal()
-        self._wanted.set()
+        self._entries = dict(self._read_all())
+        self._stored_at = dict.fromkeys(self._entries, clock())
+        self._has_changes = Signal()
+        self._has_changes.set()
 
     def start(self) -> None:
         """Begin to write entries to the store."""
-        spawn_loop('refusals', self._step)
+        spawn_loop('refusals', self._write_pending)
 
     def make_routes(self) -> list[Route]:
         """List the paths for entries.
@@ -84,95 +85,101 @@
         :returns: the routes.
         """
         return [
-            make_route('PUT', f'{QUARANTINE_PATH}/{FINGERPRINT}', self._keep),
+            make_route(
+                'PUT', f'{QUARANTINE_PATH}/{FINGERPRINT_PATTERN}', self._put
+            ),
             make_route('GET', QUARANTINE_PATH, self._list),
         ]
 
-    def _keep(self, request: Request, fingerprint: str) -> Response:
-        request.body_limit = MOST_BYTES
+    def _put(self, request: Request, fingerprint: str) -> Response:
+        request.body_limit = MAX_ENTRY_BYTES
         raw = request.read_body()
-        refused = decode_body(raw, QuarantineEntry)
-        self._forget_old()
-        while len(self._kept) >= MOST_KEPT and fingerprint not in self._kept:
-            self._forget(self._choose_oldest())
+        entry = decode_body(raw, QuarantineEntry)
+        self._delete_expired()
+        while (
+            len(self._entries) >= MAX_ENTRIES
+            and fingerprint not in self._entries
+        ):
+            self._delete(self._choose_oldest())
         try:
             call_in_thread(write_whole, self._root / fingerprint, raw)
         except OSError as error:
             raise Refusal(ErrorKind.storage_down, str(error)) from error
-        self._kept[fingerprint] = refused
-        self._kept_at[fingerprint] = self._clock()
-        self._wanted.set()
+        self._entries[fingerprint] = entry
+        self._stored_at[fingerprint] = self._clock()
+        self._has_changes.set()
         log_event(Event.refusal_held, fingerprint=fingerprint)
         return Response(HTTPStatus.OK, b'{}')
 
     def _list(self, _request: Request) -> Response:
-        self._forget_old()
+        self._delete_expired()
         now = self._clock()
         return answer_json(
             {
-                fingerprint: _make_current(
-                    refused,
-                    now - self._kept_at[fingerprint],
+                fingerprint: _update_ages(
+                    entry,
+                    now - self._stored_at[fingerprint],
                 )
-                for fingerprint, refused in self._kept.items()
+                for fingerprint, entry in self._entries.items()
             },
         )
 
-    def _step(self) -> None:
-        self._wanted.wait()
-        self._wanted.clear()
-        for fingerprint, refused in tuple(self._kept.items()):
-            if refused.is_proved and not self._hand_over(fingerprint):
-                self._wait(PAUSE_SECONDS)
-                self._wanted.set()
+    def _write_pending(self) -> None:
+        self._has_changes.wait()
+        self._has_changes.clear()
+        for fingerprint, entry in tuple(self._entries.items()):
+            if entry.is_proved and not self._write_to_store(fingerprint):
+                self._wait(RETRY_DELAY_SECONDS)
+                self._has_changes.set()
                 return
 
-    def _hand_over(self, fingerprint: str) -> bool:
+    def _write_to_store(self, fingerprint: str) -> bool:
         key = places.name_key(places.REFUSED, fingerprint)
-        content = msgspec.json.encode(self._kept[fingerprint])
+        content = msgspec.json.encode(self._entries[fingerprint])
         written = self._store.commit(Commit(writes={key: content}))
         if isinstance(written, Err):
             return False
-        self._forget(fingerprint)
+        self._delete(fingerprint)
         return True
 
-    def _forget_old(self) -> None:
+    def _delete_expired(self) -> None:
         """Drop expired entries of suspected requests."""
-        oldest = self._clock() - SUSPICION_SECONDS
-        for fingerprint, refused in tuple(self._kept.items()):
-            is_old = self._kept_at[fingerprint] < oldest
-            if not refused.is_proved and is_old:
-                self._forget(fingerprint)
+        oldest = self._clock() - SUSPICION_TTL_SECONDS
+        for fingerprint, entry in tuple(self._entries.items()):
+            is_old = self._stored_at[fingerprint] < oldest
+            if not entry.is_proved and is_old:
+                self._delete(fingerprint)
 
     def _choose_oldest(self) -> str:
-        """Choose the entry to evict, suspected requests first."""
+        """Choose the entry to evict: suspected requests first, then by age."""
         return min(
-            self._kept,
+            self._entries,
             key=lambda name: (
-                self._kept[name].is_proved,
-                self._kept_at[name],
+                self._entries[name].is_proved,
+                self._stored_at[name],
             ),
         )
 
-    def _forget(self, fingerprint: str) -> None:
+    def _delete(self, fingerprint: str) -> None:
         (self._root / fingerprint).unlink(missing_ok=True)
-        self._kept.pop(fingerprint, None)
-        self._kept_at.pop(fingerprint, None)
+        self._entries.pop(fingerprint, None)
+        self._stored_at.pop(fingerprint, None)
 
     def _read_all(self) -> list[tuple[str, QuarantineEntry]]:
-        found = []
+        entries = []
         for path in self._root.iterdir():
-            if not re.fullmatch(FINGERPRINT, path.name):
+            if not re.fullmatch(FINGERPRINT_PATTERN, path.name):
                 # A temporary file of an interrupted write.
                 path.unlink(missing_ok=True)
                 continue
             try:
-                refused = msgspec.json.decode(
+                entry = msgspec.json.decode(
                     path.read_bytes(),
                     type=QuarantineEntry,
                 )
             except (OSError, msgspec.DecodeError) as error:
-                # A write that was torn by a power loss was never confirmed.
+                # Truncated by a power loss, so that its write was never
+                # confirmed.
                 log_event(
                     Event.refusal_unkept,
                     fingerprint=path.name,
@@ -180,14 +187,14 @@
                 )
                 path.unlink(missing_ok=True)
             else:
-                found.append((path.name, refused))
-        return found
+                entries.append((path.name, entry))
+        return entries
 
 
-def _make_current(refused: QuarantineEntry, seconds: float) -> QuarantineEntry:
-    """Add the time since it was taken to the ages of its ends."""
+def _update_ages(entry: QuarantineEntry, seconds: float) -> QuarantineEntry:
+    """Add the time since an entry was received to the ages of its crashes."""
     ends = tuple(
         msgspec.structs.replace(end, age=end.age + seconds)
-        for end in refused.ends
+        for end in entry.ends
     )
-    return QuarantineEntry(ends, 0, refused.is_proved)
+    return QuarantineEntry(ends, 0, entry.is_proved)
--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -1,9 +1,10 @@
-"""Keeps quarantine entries in the store, for processes that start later.
+"""Stores quarantine entries for processes that start later.
 
-Processes exchange what they know; the store is for what outlives all of them.
-It is written once for each refused request, and read with the board, which
-entries read anyway, so that a day without one costs no call.  While the store
-is away the disks keep the entries in its place.
+Running processes exchange what they know; the store preserves it when all of
+them are lost.  It is written once for each refused request, and read together
+with the board, which entries read anyway, so that it costs no calls while no
+request is refused.  While the store is unavailable, the disks store the
+entries instead.
 """
 
 from __future__ import annotations
@@ -30,15 +31,16 @@
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.platform.store import KeyValueStore
 
-# Coalesces the reads of jobs that are taken up together.
-READ_SECONDS = 5.0
-PAUSE_SECONDS = 0.5
-# A process whose time of day is ahead by less does not delete what others use.
-CLOCK_SECONDS = 86_400.0
+# Combines the reads for jobs that start at the same time.
+MIN_READ_INTERVAL_SECONDS = 5.0
+RETRY_DELAY_SECONDS = 0.5
+# A process whose wall clock is ahead by less does not delete entries that are
+# still in use.
+MAX_CLOCK_SKEW_SECONDS = 86_400.0
 
 
 class QuarantineStore:
-    """Writes the entries of this process, and reads those of others."""
+    """Writes the entries of this process and reads those of others."""
 
     def __init__(
         self,
@@ -46,76 +48,79 @@
         suspicions: Suspicions,
         wait: Callable[[float], object],
     ) -> None:
-        """Keep what this process finds out of suspected requests.
+        """Create the store.
 
         :param store: the key-value service.
-        :param suspicions: what this process knows.
-        :param wait: waits so many seconds, and for the service's return.
+        :param suspicions: suspected requests that this process knows.
+        :param wait: waits for a number of seconds and until the key-value
+            service is available.
         """
         self._store = store
         self._wait = wait
         self._suspicions = suspicions
         # Entries that the store has not accepted yet.
         self._unwritten: set[str] = set()
-        # Entries that were sent to the disks.
-        self._held: set[str] = set()
+        # Entries that were copied to the disks.
+        self._replicated: set[str] = set()
         self._read_at = -math.inf
         # Copies an entry to the disks.
-        self.hold: Callable[[str, bytes], object] = _ignore_entry
+        self.replicate: Callable[[str, bytes], object] = _ignore_entry
 
     def note(self, fingerprint: str) -> None:
-        """Keep a request if it is refused, as soon as the store takes it.
+        """Store a request once it is refused.
 
-        Of one that has met its second end the disks know, which costs no call:
-        each loss of all processes would allow it two ends more.
+        A request that has met its second crash is copied to the disks, which
+        costs no call to the store.  Otherwise each loss of all processes would
+        allow it two more crashes.
 
-        :param fingerprint: the request.
+        :param fingerprint: digest of the request.
         """
         if not self._suspicions.is_refused(fingerprint):
             ends = tuple(self._suspicions.list_ends(fingerprint))
             if len(ends) >= CRASHES_BEFORE_ISOLATION:
-                self.hold(fingerprint, self._encode(fingerprint))
+                self.replicate(fingerprint, self._encode(fingerprint))
             return
         is_writing = bool(self._unwritten)
         self._unwritten.add(fingerprint)
         if not is_writing:
             gevent.spawn(self._write_all)
 
-    def note_refused_elsewhere(self, condemned: Iterable[str]) -> None:
-        """Keep what another process has found out while the store is away.
+    def replicate_refused(self, condemned: Iterable[str]) -> None:
+        """Copy requests to the disks that another process has refused.
 
-        A process beside an upstream knows no disks, and may be lost with the
-        one that it told.
+        For use while the store is unavailable: a worker does not know the
+        disks and may be lost before it can write to the store.
 
-        :param condemned: fingerprints of refused requests.
+        :param condemned: fingerprints of the refused requests.
         """
         for fingerprint in condemned:
-            self._hold(fingerprint)
+            self._replicate(fingerprint)
 
     def forget(self, fingerprint: str) -> None:
-        """Remove a request that an operator has cleared.
+        """Remove a request that an operator has cleared or that has expired.
 
-        :param fingerprint: the request.
+        :param fingerprint: digest of the request.
         """
         self._unwritten.discard(fingerprint)
         key = places.name_key(places.REFUSED, fingerprint)
-        removed = self._store.commit(Commit(deletes=(key,)))
-        if isinstance(removed, Err):
-            self._log_failure(fingerprint, removed.err_value.value)
+        result = self._store.commit(Commit(deletes=(key,)))
+        if isinstance(result, Err):
+            self._log_failure(fingerprint, result.err_value.value)
 
     def read(self) -> None:
-        """Read all entries unless that was done lately.
+        """Read all entries unless they were read recently.
 
-        For a process that reads no board; one that runs hears of news.
+        For processes that do not read the board, when they start a job; later
+        changes reach them as updates.
         """
         now = time.monotonic()
-        if now - self._read_at < READ_SECONDS:
+        if now - self._read_at < MIN_READ_INTERVAL_SECONDS:
             return
         self._read_at = now
         listed = self._store.list_prefix(places.REFUSED, may_be_old=True)
         if isinstance(listed, Err):
             return
-        self.take(
+        self.load(
             {
                 entry.key.removeprefix(places.REFUSED): msgspec.json.decode(
                     entry.value,
@@ -125,45 +130,45 @@
             },
         )
 
-    def take(self, kept: Mapping[str, QuarantineEntry]) -> None:
-        """Take in what the store keeps.
+    def load(self, entries: Mapping[str, QuarantineEntry]) -> None:
+        """Merge stored entries into what this process knows.
 
-        :param kept: by fingerprint.
+        :param entries: the entries by fingerprint.
         """
         now = time.time()
-        for fingerprint, refused in kept.items():
-            age = max(0, now - refused.kept_at) if refused.kept_at else 0
-            if age > MEMORY_SECONDS + CLOCK_SECONDS:
+        for fingerprint, entry in entries.items():
+            age = max(0, now - entry.kept_at) if entry.kept_at else 0
+            if age > MEMORY_SECONDS + MAX_CLOCK_SKEW_SECONDS:
                 gevent.spawn(self.forget, fingerprint)
             elif age <= MEMORY_SECONDS:
-                ends = tuple(_add_age(refused.ends, age))
-                proved = (fingerprint,) if refused.is_proved else ()
-                self._suspicions.merge(SuspicionNews(ends, condemned=proved))
+                ends = tuple(_add_age(entry.ends, age))
+                confirmed = (fingerprint,) if entry.is_proved else ()
+                self._suspicions.merge(SuspicionNews(ends, condemned=confirmed))
 
     def _write_all(self) -> None:
-        """Write until the store has taken everything."""
+        """Write until the store has accepted all entries."""
         while self._unwritten:
             for fingerprint in tuple(self._unwritten):
                 self._write(fingerprint)
             if self._unwritten:
-                self._wait(PAUSE_SECONDS)
+                self._wait(RETRY_DELAY_SECONDS)
 
     def _write(self, fingerprint: str) -> None:
         key = places.name_key(places.REFUSED, fingerprint)
         content = self._encode(fingerprint)
-        written = self._store.commit(Commit(writes={key: content}))
-        if isinstance(written, Err):
-            self._log_failure(fingerprint, written.err_value.value)
-            self._hold(fingerprint)
+        result = self._store.commit(Commit(writes={key: content}))
+        if isinstance(result, Err):
+            self._log_failure(fingerprint, result.err_value.value)
+            self._replicate(fingerprint)
         else:
             self._unwritten.discard(fingerprint)
-            self._held.discard(fingerprint)
+            self._replicated.discard(fingerprint)
 
-    def _hold(self, fingerprint: str) -> None:
-        """Copy an entry to the disks, once."""
-        if fingerprint not in self._held:
-            self._held.add(fingerprint)
-            self.hold(fingerprint, self._encode(fingerprint))
+    def _replicate(self, fingerprint: str) -> None:
+        """Copy an entry to the disks unless it was copied before."""
+        if fingerprint not in self._replicated:
+            self._replicated.add(fingerprint)
+            self.replicate(fingerprint, self._encode(fingerprint))
 
     def _encode(self, fingerprint: str) -> bytes:
         ends = tuple(self._suspicions.list_ends(fingerprint))
@@ -177,7 +182,7 @@
 
 
 def _ignore_entry(_fingerprint: str, _content: bytes) -> None:
-    """Leave it to who knows the disks."""
+    """Do nothing, in processes that do not know the disks."""
 
 
 def _add_age(ends: Iterable[EndNews], age: float) -> Iterable[EndNews]:
--- a/tests/hosted/quarantine/test_replica.py
+++ b/tests/hosted/quarantine/test_replica.py
@@ -1,4 +1,4 @@
-"""Verdicts on a disk outlive the process that took them."""
+"""Tests that quarantine entries on a disk survive the loss of processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wigeonpier.hosted.news import QuarantineEntry
 from wigeonpier.hosted.quarantine.replica import (
     FOLDER,
-    SUSPICION_SECONDS,
+    SUSPICION_TTL_SECONDS,
     QuarantineReplica,
 )
 from wigeonpier.hosted.quarantine.store import QuarantineStore
@@ -26,7 +26,7 @@
 
 
 class FakeStore:
-    """Takes commits once it is up."""
+    """Accepts commits while it is up."""
 
     def __init__(self) -> None:
         self.is_up = False
@@ -39,36 +39,36 @@
         return Ok(1)
 
 
-def make_desk(folder, store, clock=time.monotonic) -> QuarantineReplica:
+def make_replica(folder, store, clock=time.monotonic) -> QuarantineReplica:
     return QuarantineReplica(
         str(folder), store, lambda _seconds: gevent.sleep(0.01), clock
     )
 
 
-def keep(
-    desk: QuarantineReplica,
+def put(
+    replica: QuarantineReplica,
     fingerprint: str = FINGERPRINT,
     *,
     age: float = 0,
     is_proved: bool = True,
 ) -> None:
-    refused = QuarantineEntry(
+    entry = QuarantineEntry(
         (EndNews(fingerprint, 'i-1', 'v1', 0.5, was_alone=True),),
         time.time() - age,
         is_proved,
     )
-    raw = msgspec.json.encode(refused)
+    raw = msgspec.json.encode(entry)
     request = Request('PUT', '/', '', {}, BytesIO(raw))
-    assert desk._keep(request, fingerprint).status == 200
+    assert replica._put(request, fingerprint).status == 200
 
 
-def test_a_verdict_outlives_the_process_and_reaches_the_store(tmp_path) -> None:
+def test_a_refused_request_survives_a_restart_and_is_stored(tmp_path) -> None:
     store = FakeStore()
-    keep(make_desk(tmp_path, store))
-    desk = make_desk(tmp_path, store)
-    told = msgspec.json.decode(desk._list(None).body)
-    assert list(told) == [FINGERPRINT]
-    desk.start()
+    put(make_replica(tmp_path, store))
+    replica = make_replica(tmp_path, store)
+    listed = msgspec.json.decode(replica._list(None).body)
+    assert list(listed) == [FINGERPRINT]
+    replica.start()
     gevent.sleep(0.05)
     assert not store.keys
     store.is_up = True
@@ -79,82 +79,82 @@
     assert not list((tmp_path / FOLDER).iterdir())
 
 
-def test_a_torn_file_is_left_out(tmp_path) -> None:
+def test_a_truncated_file_is_ignored(tmp_path) -> None:
     store = FakeStore()
-    keep(make_desk(tmp_path, store))
-    whole = (tmp_path / FOLDER / FINGERPRINT).read_bytes()
-    (tmp_path / FOLDER / f'{FINGERPRINT}.0a.new').write_bytes(whole)
-    (tmp_path / FOLDER / FINGERPRINT).write_bytes(whole[:9])
-    desk = make_desk(tmp_path, store)
-    assert not msgspec.json.decode(desk._list(None).body)
+    put(make_replica(tmp_path, store))
+    content = (tmp_path / FOLDER / FINGERPRINT).read_bytes()
+    (tmp_path / FOLDER / f'{FINGERPRINT}.0a.new').write_bytes(content)
+    (tmp_path / FOLDER / FINGERPRINT).write_bytes(content[:9])
+    replica = make_replica(tmp_path, store)
+    assert not msgspec.json.decode(replica._list(None).body)
 
 
-def test_a_suspicion_is_told_and_never_written_to_the_store(tmp_path) -> None:
+def test_a_suspicion_is_served_and_never_written_to_the_store(tmp_path) -> None:
     store = FakeStore()
     store.is_up = True
-    keep(make_desk(tmp_path, store), is_proved=False)
-    desk = make_desk(tmp_path, store)
-    desk.start()
+    put(make_replica(tmp_path, store), is_proved=False)
+    replica = make_replica(tmp_path, store)
+    replica.start()
     gevent.sleep(0.05)
-    told = msgspec.json.decode(desk._list(None).body)
-    assert not told[FINGERPRINT]['is_proved']
+    listed = msgspec.json.decode(replica._list(None).body)
+    assert not listed[FINGERPRINT]['is_proved']
     assert not store.keys
 
 
-def test_a_suspicion_that_led_to_nothing_is_dropped(tmp_path) -> None:
+def test_a_suspicion_expires(tmp_path) -> None:
     now = [100.0]
-    desk = make_desk(tmp_path, FakeStore(), lambda: now[0])
-    keep(desk, is_proved=False)
-    now[0] += SUSPICION_SECONDS - 1
-    assert msgspec.json.decode(desk._list(None).body)
+    replica = make_replica(tmp_path, FakeStore(), lambda: now[0])
+    put(replica, is_proved=False)
+    now[0] += SUSPICION_TTL_SECONDS - 1
+    assert msgspec.json.decode(replica._list(None).body)
     now[0] += 2
-    assert not msgspec.json.decode(desk._list(None).body)
+    assert not msgspec.json.decode(replica._list(None).body)
     assert not list((tmp_path / FOLDER).iterdir())
 
 
 @pytest.mark.parametrize('skew', [-600, 600, 4000, -4000])
-def test_clocks_that_differ_neither_drop_nor_keep_a_suspicion(
+def test_clock_skew_does_not_change_the_expiry_of_a_suspicion(
     tmp_path, skew
 ) -> None:
-    """It was written by a VM whose time of day is another one."""
+    """The entry comes from a VM whose wall clock differs."""
     now = [100.0]
-    desk = make_desk(tmp_path, FakeStore(), lambda: now[0])
-    keep(desk, age=skew, is_proved=False)
-    told = msgspec.json.decode(
-        desk._list(None).body, type=dict[str, QuarantineEntry]
+    replica = make_replica(tmp_path, FakeStore(), lambda: now[0])
+    put(replica, age=skew, is_proved=False)
+    listed = msgspec.json.decode(
+        replica._list(None).body, type=dict[str, QuarantineEntry]
     )
     suspicions = Suspicions()
-    keeper = QuarantineStore(FakeStore(), suspicions, lambda _seconds: None)
-    keeper.take(told)
+    quarantine = QuarantineStore(FakeStore(), suspicions, lambda _seconds: None)
+    quarantine.load(listed)
     assert [end.age for end in suspicions.list_ends(FINGERPRINT)] == [0.5]
-    now[0] += SUSPICION_SECONDS + 1
-    assert not msgspec.json.decode(desk._list(None).body)
+    now[0] += SUSPICION_TTL_SECONDS + 1
+    assert not msgspec.json.decode(replica._list(None).body)
 
 
-def test_a_process_whose_clock_is_ahead_deletes_nothing() -> None:
+def test_a_clock_that_is_ahead_does_not_delete_entries() -> None:
     store = FakeStore()
-    keeper = QuarantineStore(store, Suspicions(), lambda _seconds: None)
+    quarantine = QuarantineStore(store, Suspicions(), lambda _seconds: None)
     deleted = []
-    keeper.forget = deleted.append
-    keeper.take({FINGERPRINT: QuarantineEntry((), time.time() - 4000)})
+    quarantine.forget = deleted.append
+    quarantine.load({FINGERPRINT: QuarantineEntry((), time.time() - 4000)})
     gevent.sleep(0)
     assert not deleted
-    keeper.take({FINGERPRINT: QuarantineEntry((), time.time() - 100_000)})
+    quarantine.load({FINGERPRINT: QuarantineEntry((), time.time() - 100_000)})
     gevent.sleep(0)
     assert deleted == [FINGERPRINT]
 
 
-def test_the_newest_is_kept_where_too_many_are(tmp_path, monkeypatch) -> None:
-    """Whoever filled the disk, what ends upstreams now is what matters."""
-    monkeypatch.setattr('wigeonpier.hosted.quarantine.replica.MOST_KEPT', 3)
+def test_the_oldest_suspicions_are_evicted_first(tmp_path, monkeypatch) -> None:
+    """Then the oldest refused requests: the newest crashes matter most."""
+    monkeypatch.setattr('wigeonpier.hosted.quarantine.replica.MAX_ENTRIES', 3)
     now = [100.0]
-    desk = make_desk(tmp_path, FakeStore(), lambda: now[0])
+    replica = make_replica(tmp_path, FakeStore(), lambda: now[0])
     for digit, is_proved in (('1', True), ('2', False), ('3', True)):
         now[0] += 1
-        keep(desk, digit * 32, is_proved=is_proved)
+        put(replica, digit * 32, is_proved=is_proved)
     now[0] += 1
-    keep(desk, '4' * 32)
-    assert sorted(name[0] for name in desk._kept) == ['1', '3', '4']
-    keep(desk, '5' * 32, is_proved=False)
-    assert sorted(name[0] for name in desk._kept) == ['3', '4', '5']
+    put(replica, '4' * 32)
+    assert sorted(name[0] for name in replica._entries) == ['1', '3', '4']
+    put(replica, '5' * 32, is_proved=False)
+    assert sorted(name[0] for name in replica._entries) == ['3', '4', '5']
     assert len(list((tmp_path / FOLDER).iterdir())) == 3
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -240,7 +240,7 @@
     for disk in site.disks:
         wait_for(
             lambda disk=disk: any(
-                kept.is_proved for kept in disk._quarantine._kept.values()
+                kept.is_proved for kept in disk._quarantine._entries.values()
             ),
             'the disks have it',
         )
@@ -259,7 +259,9 @@
     wait_for(lambda: caller.ask().status and count_ends(site) >= 2, 'two ends')
     culprit = find_culprit(site)
     for disk in site.disks:
-        wait_for(lambda disk=disk: disk._quarantine._kept, 'the disks have it')
+        wait_for(
+            lambda disk=disk: disk._quarantine._entries, 'the disks have it'
+        )
     lose_knowledge(site)
     later = site.add_entry('edge-later')
     wait_for(
--- a/tests/hosted/test_proofs.py
+++ b/tests/hosted/test_proofs.py
@@ -86,7 +86,7 @@
         world.pass_time()
         return Ok(reply)
 
-    told = proofs.ToldProofs(
+    told = proofs.FreshnessProver(
         world,
         configuration,
         SimpleNamespace(call=call),
@@ -150,7 +150,7 @@
     patched(world)
     world.get = lambda _key: Err(Failure.unavailable)
     pool = SimpleNamespace(call=lambda *_given: Ok(Reply(503, b'{}')))
-    told = proofs.ToldProofs(
+    told = proofs.FreshnessProver(
         world,
         Configuration(),
         pool,
