--- a/src/wigeonpier/hosted/loadfeed.py
+++ b/src/wigeonpier/hosted/loadfeed.py
@@ -1,8 +1,9 @@
-"""Tells entries the load of the upstream on this VM, as it changes.
+"""Streams the load of the upstream on this VM to entries as it changes.
 
-Entries that choose by what they hear with their own answers choose blindly in
-a crest: the share of late questions in a model of 25 entries and 28 upstreams
-was 0.06 to 0.17 so, and 0.01 to 0.05 with a line each 0.1 s.
+Entries that know only the loads reported with their own responses choose
+upstreams from outdated data at load peaks: in a model of 25 entries and 28
+upstreams, the share of late requests was 0.06 to 0.17 without this feed and
+0.01 to 0.05 with a line every 0.1 s.
 """
 
 from __future__ import annotations
@@ -30,15 +31,15 @@
     from wigeonpier.membership.suspicions import Suspicions
 
 LOAD_PATH = '/load'
-# A line costs an entry about 80 us; 48 upstreams at this pace stay below the
-# 3.5 % of a core that a daemon may spend on control.
-REPORT_SECONDS = 0.1
+# A line costs an entry about 80 us; 48 upstreams at this rate stay below the
+# 3.5 % of a core that a daemon may use for control traffic.
+REPORT_INTERVAL_SECONDS = 0.1
 # Repeats an unchanged load before followers consider it stale.
-REPEAT_SECONDS = 0.4
+REPEAT_INTERVAL_SECONDS = 0.4
 
 
 class LoadFeed:
-    """Answers each entry with a line whenever the load has changed."""
+    """Streams a line to each following entry whenever the load has changed."""
 
     def __init__(
         self,
@@ -48,7 +49,15 @@
         suspicions: Suspicions,
         usage: UsageCounter,
     ) -> None:
-        """Tell of the upstream, less the items that the runner has there."""
+        """Create the feed.
+
+        :param upstream: the upstream on this VM.
+        :param runner: runs batch items, which the load leaves out as far as
+            they can be preempted.
+        :param contact: state of the connection to the store.
+        :param suspicions: suspected requests, whose updates are streamed.
+        :param usage: request counts of customers, which are streamed.
+        """
         self._usage = usage
         self._suspicions = suspicions
         self._contact = contact
@@ -58,8 +67,8 @@
         self._followers = 0
 
     def start(self) -> None:
-        """Begin to look at the upstream while somebody follows."""
-        spawn_loop('load', self._step)
+        """Begin to poll the upstream while any entry follows."""
+        spawn_loop('load', self._poll)
 
     def make_routes(self) -> list[Route]:
         """List the paths for entries.
@@ -69,7 +78,7 @@
         return [make_route('GET', LOAD_PATH, self._answer)]
 
     def measure(self) -> QuestionLoad:
-        """Measure the load without items that give way to questions.
+        """Measure the load without batch items that requests may preempt.
 
         :returns: the load.
         """
@@ -80,9 +89,9 @@
                 takes_work=False,
                 has_store=not self._contact.is_lost,
             )
-        everything = report.running + report.waiting
+        total = report.running + report.waiting
         return QuestionLoad(
-            max(0, everything - self._runner.count_yielding()),
+            max(0, total - self._runner.count_yielding()),
             takes_work=not report.is_leaving,
             incarnation=report.incarnation,
             has_store=not self._contact.is_lost,
@@ -98,32 +107,32 @@
         self._followers -= 1
 
     def _iterate(self) -> Iterator[bytes]:
-        told: QuestionLoad | None = None
-        told_at: float = 0
-        known = 0
-        first = self._usage.describe_all()
-        totals = first.totals
-        usage: UsageNews | None = first
+        sent: QuestionLoad | None = None
+        sent_at: float = 0
+        position = 0
+        first_report = self._usage.describe_all()
+        known_totals = first_report.totals
+        usage: UsageNews | None = first_report
         while not self.is_closed:
-            known, changes = self._suspicions.read_log(known)
-            for news in changes:
-                yield _encode(FeedLine(news=news))
+            position, changes = self._suspicions.read_log(position)
+            for update in changes:
+                yield _encode(FeedLine(news=update))
             load = self.measure()
             now = time.monotonic()
-            usage = usage or self._usage.describe_changes(totals)
-            if usage or load != told or now - told_at > REPEAT_SECONDS:
-                told = load
-                told_at = now
+            usage = usage or self._usage.describe_changes(known_totals)
+            if usage or load != sent or now - sent_at > REPEAT_INTERVAL_SECONDS:
+                sent = load
+                sent_at = now
                 yield _encode(FeedLine(load, usage=usage))
                 usage = None
-            # News of suspected requests does not wait for the next load.
-            self._suspicions.changed.wait(REPORT_SECONDS)
+            # Updates on suspected requests are sent at once.
+            self._suspicions.changed.wait(REPORT_INTERVAL_SECONDS)
 
-    def _step(self) -> None:
+    def _poll(self) -> None:
         age = time.monotonic() - self._upstream.looked_at
-        if self._followers and age > REPORT_SECONDS / 2:
+        if self._followers and age > REPORT_INTERVAL_SECONDS / 2:
             self._upstream.look()
-        gevent.sleep(REPORT_SECONDS / 2)
+        gevent.sleep(REPORT_INTERVAL_SECONDS / 2)
 
 
 def _encode(line: FeedLine) -> bytes:
--- a/src/wigeonpier/hosted/loadfollower.py
+++ b/src/wigeonpier/hosted/loadfollower.py
@@ -1,4 +1,4 @@
-"""Follows the load of upstreams that the processes beside them tell."""
+"""Follows the load feeds of the upstreams' workers."""
 
 from __future__ import annotations
 
@@ -31,26 +31,26 @@
     from wigeonpier.web.exchange import Exchange
     from wigeonpier.web.pool import ConnectionPool
 
-# After a start of all processes callers come back at once: with 0.5 s here
-# entries chose blindly for as long.
-STEP_SECONDS = 0.1
-OPEN_SECONDS = 0.4
-# Five lines fit into it; a connection that is silent for longer is dead.
-SILENCE_SECONDS = 2.0
-# A process that was killed is back within about a second.
-RETRY_SECONDS = (0.5, 1.5)
+# After a restart of all processes callers retry at once, and with an interval
+# of 0.5 s entries chose upstreams without load data for that long.
+UPDATE_INTERVAL_SECONDS = 0.1
+CONNECT_TIMEOUT_SECONDS = 0.4
+# Time for five lines; a connection that is silent for longer is dead.
+READ_TIMEOUT_SECONDS = 2.0
+# A killed worker restarts within about a second.
+RETRY_DELAY_SECONDS = (0.5, 1.5)
 
 
 @dataclass(frozen=True, slots=True)
 class FeedListeners:
-    """Who hears what the processes beside upstreams tell.
+    """Callbacks for the messages of load feeds.
 
     :param on_load: called with the address of a VM and the load there.
-    :param on_news: called with news of suspected requests.
-    :param on_followed: called with the address of an upstream when the
-        process beside it is heard for the first time on a connection.
-    :param on_usage: called with the address of a VM and what customers asked
-        for, as it was counted there.
+    :param on_news: called with updates on suspected requests.
+    :param on_followed: called with the address of an upstream after the first
+        message on a connection to its worker.
+    :param on_usage: called with the address of a VM and the request counts of
+        customers there.
     """
 
     on_load: Callable[[str, QuestionLoad], None]
@@ -60,89 +60,98 @@
 
 
 class LoadFollower:
-    """Keeps the load of each upstream that this entry routes to."""
+    """Updates the load of each upstream that this entry routes to."""
 
     def __init__(
         self,
         settings: HostSettings,
         replicas: ReplicaRegister,
         pool: ConnectionPool,
-        draw: random.Random,
+        rng: random.Random,
         listeners: FeedListeners,
     ) -> None:
-        """Follow the upstreams of a register once started."""
+        """Create the follower.
+
+        :param settings: settings of the process.
+        :param replicas: upstreams to follow.
+        :param pool: connections to the workers.
+        :param rng: source of randomness.
+        :param listeners: callbacks for messages.
+        """
         self._listeners = listeners
         self._port = split_address(settings.peers)[1]
         self._replicas = replicas
         self._pool = pool
-        self._draw = draw
+        self._rng = rng
         self._feeds: dict[str, gevent.Greenlet[..., None]] = {}
-        # Upstreams without a load feed; each loss is logged once.
-        self._lost: set[str] = set()
+        # Upstreams without a working load feed; each loss is logged once.
+        self._lost_feeds: set[str] = set()
 
     def start(self) -> None:
-        """Begin to follow."""
-        spawn_loop('load feeds', self._step)
+        """Begin to follow the upstreams."""
+        spawn_loop('load feeds', self._update_feeds)
 
-    def _step(self) -> None:
-        wanted = {state.address for state in self._replicas.list_upstreams()}
-        for address in set(self._feeds) - wanted:
+    def _update_feeds(self) -> None:
+        addresses = {state.address for state in self._replicas.list_upstreams()}
+        for address in set(self._feeds) - addresses:
             self._feeds.pop(address).kill(block=False)
-            self._lost.discard(address)
-        for address in wanted - set(self._feeds):
+            self._lost_feeds.discard(address)
+        for address in addresses - set(self._feeds):
             self._feeds[address] = spawn_loop(
                 f'load of {address}',
                 partial(self._follow, address),
             )
-        gevent.sleep(STEP_SECONDS)
+        gevent.sleep(UPDATE_INTERVAL_SECONDS)
 
     def _follow(self, address: str) -> None:
         """Follow one upstream until its feed ends."""
         host = split_address(address)[0]
-        # Whoever runs beside the upstream listens at the same port of its VM
-        # as this process would.
-        begun = self._pool.begin(f'{host}:{self._port}', OPEN_SECONDS)
-        if isinstance(begun, Err):
-            self._note_loss(address, 'no connection')
+        # The worker listens at the same port on its VM as this process does
+        # here.
+        opened = self._pool.begin(
+            f'{host}:{self._port}', CONNECT_TIMEOUT_SECONDS
+        )
+        if isinstance(opened, Err):
+            self._record_loss(address, 'no connection')
         else:
-            self._read(address, begun.ok_value)
-        gevent.sleep(self._draw.uniform(*RETRY_SECONDS))
+            self._read(address, opened.ok_value)
+        gevent.sleep(self._rng.uniform(*RETRY_DELAY_SECONDS))
 
-    def _read(self, address: str, answer: Exchange) -> None:
+    def _read(self, address: str, exchange: Exchange) -> None:
         raw = make_request('GET', LOAD_PATH, [('Host', address)])
-        why = 'it ended'
-        is_told = False
+        why = 'the feed ended'
+        is_followed = False
         try:
-            answer.send(raw, SILENCE_SECONDS)
-            while line := answer.read_line(SILENCE_SECONDS):
-                self._note(address, line)
-                if not is_told:
-                    is_told = True
-                    self._lost.discard(address)
+            exchange.send(raw, READ_TIMEOUT_SECONDS)
+            while line := exchange.read_line(READ_TIMEOUT_SECONDS):
+                self._dispatch(address, line)
+                if not is_followed:
+                    is_followed = True
+                    self._lost_feeds.discard(address)
                     self._listeners.on_followed(address)
                     log_event(Event.load_followed, address=address)
         except (OSError, msgspec.DecodeError) as error:
             why = f'{type(error).__name__}: {error}'
         finally:
-            answer.abort()
-            answer.close()
-        self._note_loss(address, why)
+            exchange.abort()
+            exchange.close()
+        self._record_loss(address, why)
 
-    def _note_loss(self, address: str, why: str) -> None:
-        if address not in self._lost:
-            self._lost.add(address)
+    def _record_loss(self, address: str, why: str) -> None:
+        if address not in self._lost_feeds:
+            self._lost_feeds.add(address)
             log_event(Event.load_lost, address=address, why=why)
 
-    def _note(self, address: str, line: bytes) -> None:
-        told = msgspec.json.decode(line, type=FeedLine)
-        if told.news is not None:
-            self._listeners.on_news(told.news)
-        if told.usage is not None:
-            self._listeners.on_usage(split_address(address)[0], told.usage)
-        if told.load is not None:
-            self._note_load(address, told.load)
+    def _dispatch(self, address: str, line: bytes) -> None:
+        message = msgspec.json.decode(line, type=FeedLine)
+        if message.news is not None:
+            self._listeners.on_news(message.news)
+        if message.usage is not None:
+            self._listeners.on_usage(split_address(address)[0], message.usage)
+        if message.load is not None:
+            self._record_load(address, message.load)
 
-    def _note_load(self, address: str, load: QuestionLoad) -> None:
+    def _record_load(self, address: str, load: QuestionLoad) -> None:
         now = time.monotonic()
         self._listeners.on_load(split_address(address)[0], load)
         for state in self._replicas.list_upstreams():
