--- a/src/wigeonpier/hosted/suspectpage.py
+++ b/src/wigeonpier/hosted/suspectpage.py
@@ -1,4 +1,4 @@
-"""Shows operators the suspected requests of an entry, and clears them."""
+"""Serves operators the suspected requests of an entry and clears them."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 class SuspectRow(msgspec.Struct):
     """One suspected request.
 
-    :param fingerprint: the request, as in log lines.
-    :param is_refused: whether it is not run any more.
-    :param age: since it was last told of, seconds.
-    :param ends: upstreams that ended while it was there.
+    :param fingerprint: digest of the request, as in log lines.
+    :param is_refused: whether it is no longer run.
+    :param age: seconds since the last report of it.
+    :param ends: upstreams that crashed while it ran there.
     """
 
     fingerprint: str
@@ -36,7 +36,7 @@
 
 
 class SuspectPage:
-    """Answers operators."""
+    """Answers operators' requests about suspected requests."""
 
     def __init__(
         self,
@@ -44,7 +44,12 @@
         publisher: SuspicionPublisher,
         quarantine: QuarantineStore,
     ) -> None:
-        """Show what is known here; what is cleared is cleared everywhere."""
+        """Create the page.
+
+        :param suspicions: suspected requests that this entry knows.
+        :param publisher: publishes what is cleared to all processes.
+        :param quarantine: stored entries, removed when a request is cleared.
+        """
         self._suspicions = suspicions
         self._publisher = publisher
         self._quarantine = quarantine
@@ -60,9 +65,12 @@
         ]
 
     def count_refused(self) -> int:
-        """Count the requests that are not run any more."""
-        known = self._suspicions
-        return sum(known.is_refused(name) for name in known.suspects)
+        """Count the requests that are no longer run.
+
+        :returns: number of requests.
+        """
+        suspicions = self._suspicions
+        return sum(suspicions.is_refused(name) for name in suspicions.suspects)
 
     def _show(self, _request: Request) -> Response:
         now = time.monotonic()
--- a/src/wigeonpier/hosted/suspicionhandler.py
+++ b/src/wigeonpier/hosted/suspicionhandler.py
@@ -1,4 +1,4 @@
-"""Takes news of suspected requests beside an upstream."""
+"""Receives updates on suspected requests at a worker."""
 
 from __future__ import annotations
 
@@ -14,15 +14,22 @@
     from wigeonpier.policy.trial import TrialTable
 
 NEWS_PATH = '/suspicions'
-# All that a process can know, at 150 bytes an end.
-MOST_NEWS_BYTES = 4_000_000
+# Largest state of a process, at 150 bytes a crash.
+MAX_UPDATE_BYTES = 4_000_000
 
 
 class SuspicionHandler:
-    """Hears from entries; those that follow the load hear of it at once."""
+    """Handles the updates that entries send.
+
+    Entries that follow the load feed receive them at once.
+    """
 
     def __init__(self, suspicions: Suspicions, trials: TrialTable) -> None:
-        """Keep what is told; what was cleared runs here no more."""
+        """Create the handler.
+
+        :param suspicions: suspected requests that this worker knows.
+        :param trials: suspected requests at the upstream.
+        """
         self._suspicions = suspicions
         self._trials = trials
 
@@ -31,15 +38,16 @@
 
         :returns: the routes.
         """
-        return [make_route('POST', NEWS_PATH, self._take)]
-
-    def _take(self, request: Request) -> Response:
-        request.body_limit = MOST_NEWS_BYTES
-        told = decode_body(request.read_body(), SuspicionNews)
-        # Also where that is no news: the run that ended was one of here.
-        for fingerprint in told.cleared:
+        return [make_route('POST', NEWS_PATH, self._receive)]
+
+    def _receive(self, request: Request) -> Response:
+        request.body_limit = MAX_UPDATE_BYTES
+        update = decode_body(request.read_body(), SuspicionNews)
+        # Known facts release trials as well: the run that finished or crashed
+        # may have been at this upstream.
+        for fingerprint in update.cleared:
             self._trials.leave(fingerprint)
-        for end in told.ends:
+        for end in update.ends:
             self._trials.leave(end.fingerprint)
-        self._suspicions.merge(told)
+        self._suspicions.merge(update)
         return Response(HTTPStatus.OK, b'{}')
--- a/src/wigeonpier/hosted/suspicionpublisher.py
+++ b/src/wigeonpier/hosted/suspicionpublisher.py
@@ -1,9 +1,10 @@
-"""Tells other processes of suspected requests.
+"""Publishes updates on suspected requests to other processes.
 
-An entry tells a few of the processes beside upstreams, and each of them tells
-all entries that follow its load: two hops, some 10 ms.  Entries that hear of
-something new pass it on to one more, so that it spreads where each entry
-follows a part of the upstreams only.  The store is not needed for it.
+An entry sends an update to a few workers, and each worker sends it to all
+entries that follow its load feed: two hops, about 10 ms.  An entry that
+receives new facts forwards them to one more worker, so that they spread even
+where each entry follows only a part of the upstreams.  The store is not
+involved.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.web.pool import ConnectionPool
 
-# Batches the requests that are lost with one upstream.
-GATHER_SECONDS = 0.003
-ANSWER_SECONDS = 0.5
-# Recipients of what was seen here; some of them may be gone.
-FIRST_RECIPIENTS = 4
-# Recipients of what another process reported.
-PASSED_ON = 1
+# Collects the requests that are lost with one upstream into one update.
+BATCH_SECONDS = 0.003
+SEND_TIMEOUT_SECONDS = 0.5
+# Workers that an update from this entry is sent to; some may be down.
+OWN_UPDATE_RECIPIENTS = 4
+# Workers that an update from another process is forwarded to.
+FORWARD_RECIPIENTS = 1
 
 
 class SuspicionPublisher:
-    """Gathers news, and tells it to processes beside upstreams."""
+    """Collects updates and sends them to workers."""
 
     def __init__(
         self,
@@ -44,73 +45,82 @@
         replicas: ReplicaRegister,
         pool: ConnectionPool,
         port: int,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Tell processes that listen at a port of the upstreams' VMs."""
+        """Create the publisher.
+
+        :param suspicions: suspected requests that this entry knows.
+        :param replicas: upstreams that this entry knows.
+        :param pool: connections to the workers.
+        :param port: port of the workers on the upstreams' VMs.
+        :param rng: source of randomness.
+        """
         self._suspicions = suspicions
         self._replicas = replicas
         self._pool = pool
         self._port = port
-        self._draw = draw
-        self._news: list[SuspicionNews] = []
-        self._involved: set[str] = set()
+        self._rng = rng
+        self._pending: list[SuspicionNews] = []
+        self._involved_addresses: set[str] = set()
 
-    def publish(self, news: SuspicionNews, address: str = '') -> None:
-        """Tell what was seen here.
+    def publish(self, update: SuspicionNews, address: str = '') -> None:
+        """Publish an update from this process.
 
-        :param news: what was seen.
-        :param address: upstream that it is of; who stands beside it is told
-            in any case.
+        :param update: the update.
+        :param address: address of the upstream concerned, whose worker always
+            gets the update.
         """
-        if news == SuspicionNews():
+        if update == SuspicionNews():
             return
-        if not self._news:
-            gevent.spawn_later(GATHER_SECONDS, self._publish_gathered)
-        self._news.append(news)
-        self._involved.add(address)
+        if not self._pending:
+            gevent.spawn_later(BATCH_SECONDS, self._publish_pending)
+        self._pending.append(update)
+        self._involved_addresses.add(address)
 
-    def receive(self, news: SuspicionNews) -> None:
-        """Take in what another process told, and pass on what is new.
+    def receive(self, update: SuspicionNews) -> None:
+        """Merge an update of another process and forward what is new.
 
-        :param news: what it told.
+        :param update: the update.
         """
-        for end in news.ends:
+        for end in update.ends:
             if end.age < ON_ITS_WAY_SECONDS:
                 self._replicas.note_end(end.upstream)
-        fresh = self._suspicions.merge(news)
-        if fresh != SuspicionNews():
-            self._send(fresh, self._draw_addresses(PASSED_ON))
+        new = self._suspicions.merge(update)
+        if new != SuspicionNews():
+            self._send(new, self._draw_addresses(FORWARD_RECIPIENTS))
 
     def publish_all(self, address: str) -> None:
-        """Tell all that is known to who may have just started.
+        """Send all suspected requests to a worker that may have just started.
 
-        :param address: upstream beside which it stands.
+        :param address: address of its upstream.
         """
         if not self._suspicions.is_empty:
             self._send(self._suspicions.describe(), {address})
 
-    def _publish_gathered(self) -> None:
-        gathered = self._news
-        addresses = self._involved - {''}
-        self._news = []
-        self._involved = set()
-        news = SuspicionNews(
-            tuple(end for one in gathered for end in one.ends),
-            tuple(name for one in gathered for name in one.cleared),
-            tuple(name for one in gathered for name in one.kept),
-            tuple(name for one in gathered for name in one.condemned),
+    def _publish_pending(self) -> None:
+        pending = self._pending
+        addresses = self._involved_addresses - {''}
+        self._pending = []
+        self._involved_addresses = set()
+        update = SuspicionNews(
+            tuple(end for one in pending for end in one.ends),
+            tuple(name for one in pending for name in one.cleared),
+            tuple(name for one in pending for name in one.kept),
+            tuple(name for one in pending for name in one.condemned),
+        )
+        self._send(
+            update, addresses | self._draw_addresses(OWN_UPDATE_RECIPIENTS)
         )
-        self._send(news, addresses | self._draw_addresses(FIRST_RECIPIENTS))
 
-    def _draw_addresses(self, most: int) -> set[str]:
+    def _draw_addresses(self, count: int) -> set[str]:
         known = [state.address for state in self._replicas.list_upstreams()]
-        return set(self._draw.sample(known, min(most, len(known))))
+        return set(self._rng.sample(known, min(count, len(known))))
 
-    def _send(self, news: SuspicionNews, addresses: set[str]) -> None:
-        body = msgspec.json.encode(news)
+    def _send(self, update: SuspicionNews, addresses: set[str]) -> None:
+        body = msgspec.json.encode(update)
         for upstream in addresses:
             host = split_address(upstream)[0]
             address = f'{host}:{self._port}'
             raw = make_request('POST', NEWS_PATH, [('Host', address)], body)
-            # Whoever does not answer hears of it from another entry.
-            gevent.spawn(self._pool.call, address, raw, ANSWER_SECONDS)
+            # A worker that does not respond gets it from another entry.
+            gevent.spawn(self._pool.call, address, raw, SEND_TIMEOUT_SECONDS)
