--- a/tests/hosted/test_customers.py
+++ b/tests/hosted/test_customers.py
@@ -1,7 +1,7 @@
-"""Customers with keys: who is served, and what a key reaches.
+"""Tests authentication by customer keys and the confidentiality of keys.
 
-Keys were passed on to upstreams, unknown ones ran, and those that had been
-taken away went on running.
+Guards against keys that are forwarded to upstreams, requests with unknown keys
+that run, and revoked keys that stay valid.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from tests.hosted.callers import DEADLY_BODY
 
 KEY = 'key-of-the-first-one'
-OTHER_KEY = 'another-key-of-the-first-one'
-FOREIGN_KEY = 'key-of-the-second-one'
+SECOND_KEY = 'another-key-of-the-first-one'
+SECOND_CUSTOMER_KEY = 'key-of-the-second-one'
 CUSTOMERS = (
-    make_customer('first', KEY, OTHER_KEY),
-    make_customer('second', FOREIGN_KEY),
+    make_customer('first', KEY, SECOND_KEY),
+    make_customer('second', SECOND_CUSTOMER_KEY),
 )
-OK, ACCEPTED, UNKNOWN, MISSING, UNSURE = 200, 202, 401, 404, 503
+OK, ACCEPTED, UNAUTHENTICATED, NOT_FOUND, UNAVAILABLE = 200, 202, 401, 404, 503
 BOUND = 1.5
 
 
@@ -39,7 +39,7 @@
     return site
 
 
-def ask(site: HostedSite, name: str, path: str = '/ask/a', **headers: str):
+def send(site: HostedSite, name: str, path: str = '/ask/a', **headers: str):
     return site.call('POST', path, name, b'{}', **headers)
 
 
@@ -49,84 +49,92 @@
     ]
 
 
-def test_a_known_key_is_served_and_stays_at_the_entry(served) -> None:
-    reply = ask(served, 'q1', X_Key=KEY, X_Tenant='second')
+def test_a_request_with_a_known_key_is_forwarded_without_it(served) -> None:
+    reply = send(served, 'q1', X_Key=KEY, X_Tenant='second')
     assert reply.status == OK
     (received,) = list_received(served)
     assert received['x-tenant'] == 'first'
     assert KEY not in str(received)
 
 
-def test_an_unknown_key_or_none_is_turned_away_unrun(served) -> None:
-    assert ask(served, 'q1', X_Key='no-such-key').status == UNKNOWN
-    assert ask(served, 'q2').status == UNKNOWN
+def test_a_request_with_an_unknown_or_no_key_does_not_run(served) -> None:
+    assert send(served, 'q1', X_Key='no-such-key').status == UNAUTHENTICATED
+    assert send(served, 'q2').status == UNAUTHENTICATED
     assert not list_received(served)
 
 
-def test_an_open_route_needs_no_key(served) -> None:
+def test_an_anonymous_route_needs_no_key(served) -> None:
     routes = [
         route | {'allowAnonymous': True}
         for route in served.configuration['routes']
     ]
     served.configure(routes=routes)
-    assert ask(served, 'q1', X_Tenant='second').status == OK
-    assert ask(served, 'q2', X_Key='no-such-key').status == OK
-    assert ask(served, 'q3', X_Key=KEY).status == OK
+    assert send(served, 'q1', X_Tenant='second').status == OK
+    assert send(served, 'q2', X_Key='no-such-key').status == OK
+    assert send(served, 'q3', X_Key=KEY).status == OK
     names = [one.get('x-tenant') for one in list_received(served)]
     assert sorted(map(str, names)) == ['None', 'None', 'first']
     assert 'no-such-key' not in str(list_received(served))
 
 
-def test_where_nobody_has_a_key_nobody_needs_one(site: HostedSite) -> None:
+def test_no_key_is_needed_without_customers(site: HostedSite) -> None:
     site.revocation = BOUND
     site.start()
     reads = site.store.calls['/-/kv-key']
-    assert ask(site, 'q1').status == OK
+    assert send(site, 'q1').status == OK
     gevent.sleep(BOUND)
     assert site.store.calls['/-/kv-key'] == reads
 
 
-def test_items_bear_the_name_and_never_the_key(served) -> None:
-    handed = served.hand_in(
+def test_items_carry_the_customer_name_and_not_the_key(served) -> None:
+    submitted = served.hand_in(
         'j1',
         X_Key=KEY,
         item_headers={'X-Key': KEY, 'X-Tenant': 'second'},
     )
-    assert handed.status == ACCEPTED
+    assert submitted.status == ACCEPTED
     wait_for(lambda: len(list_received(served)) >= 4, 'all items run')
     for received in list_received(served):
         assert received['x-tenant'] == 'first'
         assert KEY not in str(received)
 
 
-def test_a_job_is_its_customers_with_any_key(served) -> None:
+def test_a_job_is_accessible_with_any_key_of_its_customer(served) -> None:
     served.hand_in('j1', X_Key=KEY)
-    for key, status in ((OTHER_KEY, OK), (FOREIGN_KEY, MISSING), ('x', 401)):
+    for key, status in (
+        (SECOND_KEY, OK),
+        (SECOND_CUSTOMER_KEY, NOT_FOUND),
+        ('x', 401),
+    ):
         for method, target in (
             ('GET', '/-/lots/j1?after=0'),
             ('GET', '/-/items/j1?id=j10'),
         ):
             reply = served.call(method, target, X_Key=key)
             assert reply.status == status, (key, target)
-    missing = served.call('GET', '/-/lots/j1?after=0', X_Key=FOREIGN_KEY)
-    never = served.call('GET', '/-/lots/jx?after=0', X_Key=FOREIGN_KEY)
+    missing = served.call(
+        'GET', '/-/lots/j1?after=0', X_Key=SECOND_CUSTOMER_KEY
+    )
+    never = served.call('GET', '/-/lots/jx?after=0', X_Key=SECOND_CUSTOMER_KEY)
     assert missing.body.replace(b'j1', b'jx') == never.body
-    assert served.call('DELETE', '/-/lots/j1', X_Key='x').status == UNKNOWN
-    foreign = served.call('DELETE', '/-/lots/j1', X_Key=FOREIGN_KEY)
-    assert foreign.status == MISSING
-    assert served.call('DELETE', '/-/lots/j1', X_Key=OTHER_KEY).status == OK
+    assert (
+        served.call('DELETE', '/-/lots/j1', X_Key='x').status == UNAUTHENTICATED
+    )
+    other_reply = served.call('DELETE', '/-/lots/j1', X_Key=SECOND_CUSTOMER_KEY)
+    assert other_reply.status == NOT_FOUND
+    assert served.call('DELETE', '/-/lots/j1', X_Key=SECOND_KEY).status == OK
 
 
-def test_two_customers_may_name_their_jobs_alike(served) -> None:
+def test_customers_may_use_the_same_job_name(served) -> None:
     assert served.hand_in('j1', 2, X_Key=KEY).status == ACCEPTED
-    assert served.hand_in('j1', 3, X_Key=FOREIGN_KEY).status == ACCEPTED
-    assert served.hand_in('j1', 2, X_Key=OTHER_KEY).status == ACCEPTED
-    for key, total in ((KEY, 2), (FOREIGN_KEY, 3)):
+    assert served.hand_in('j1', 3, X_Key=SECOND_CUSTOMER_KEY).status == ACCEPTED
+    assert served.hand_in('j1', 2, X_Key=SECOND_KEY).status == ACCEPTED
+    for key, total in ((KEY, 2), (SECOND_CUSTOMER_KEY, 3)):
         reply = served.call('GET', '/-/lots/j1?after=0', X_Key=key)
         assert msgspec.json.decode(reply.body)['total'] == total
 
 
-def test_tokens_that_wait_are_counted_by_customer(served) -> None:
+def test_waiting_tokens_are_limited_per_customer(served) -> None:
     routes = [
         route | {'maxCount': 100, 'timeoutMs': 500}
         for route in served.configuration['routes']
@@ -135,57 +143,59 @@
     for replica in served.replicas:
         replica.event_seconds = 5
     assert served.hand_in('j1', 3, X_Key=KEY).status == ACCEPTED
-    assert served.hand_in('j2', 3, X_Key=OTHER_KEY).status == 429
-    assert served.hand_in('j3', 3, X_Key=FOREIGN_KEY).status == ACCEPTED
+    assert served.hand_in('j2', 3, X_Key=SECOND_KEY).status == 429
+    assert served.hand_in('j3', 3, X_Key=SECOND_CUSTOMER_KEY).status == ACCEPTED
 
 
-def test_a_key_that_is_taken_away_ends_no_job(served) -> None:
+def test_a_job_continues_after_its_key_is_revoked(served) -> None:
     served.hand_in('j1', X_Key=KEY)
     served.configure(
-        tenants=[make_customer('first', OTHER_KEY), CUSTOMERS[1]],
+        tenants=[make_customer('first', SECOND_KEY), CUSTOMERS[1]],
     )
-    assert ask(served, 'q1', X_Key=KEY).status == UNKNOWN
-    gone = served.call('GET', '/-/lots/j1?after=0', X_Key=KEY)
-    assert gone.status == UNKNOWN
+    assert send(served, 'q1', X_Key=KEY).status == UNAUTHENTICATED
+    revoked = served.call('GET', '/-/lots/j1?after=0', X_Key=KEY)
+    assert revoked.status == UNAUTHENTICATED
 
-    def is_whole() -> bool:
-        reply = served.call('GET', '/-/lots/j1?after=0', X_Key=OTHER_KEY)
+    def is_complete() -> bool:
+        reply = served.call('GET', '/-/lots/j1?after=0', X_Key=SECOND_KEY)
         return len(msgspec.json.decode(reply.body)['results']) == 4
 
-    wait_for(is_whole, 'all results')
+    wait_for(is_complete, 'all results')
 
 
-def test_an_entry_without_the_store_trusts_its_keys_for_a_while(served) -> None:
-    """Its watch is silent, which proves nothing."""
+def test_an_entry_without_the_store_accepts_keys_within_the_bound(
+    served,
+) -> None:
+    """A watch that delivers nothing does not confirm the configuration."""
     served.store.faults.is_silent = True
-    began = time.monotonic()
+    started_at = time.monotonic()
     entry = served.entries[0]
-    assert ask(served, 'q1', X_Key=KEY).status == OK
+    assert send(served, 'q1', X_Key=KEY).status == OK
     wait_for(lambda: not entry.is_ready, 'it is not ready')
-    assert time.monotonic() - began < 0.8 * BOUND
-    assert ask(served, 'q2', X_Key=KEY).status == OK
+    assert time.monotonic() - started_at < 0.8 * BOUND
+    assert send(served, 'q2', X_Key=KEY).status == OK
     wait_for(
-        lambda: ask(served, 'q3', X_Key=KEY).status == UNSURE,
-        'it serves nobody',
+        lambda: send(served, 'q3', X_Key=KEY).status == UNAVAILABLE,
+        'it serves no request',
     )
-    assert time.monotonic() - began < BOUND
-    # Whether a key is unknown cannot be told either, but that it is missing.
-    assert ask(served, 'q4', X_Key='new').status == UNSURE
-    assert ask(served, 'q5').status == UNKNOWN
+    assert time.monotonic() - started_at < BOUND
+    # A key that seems unknown may be a new one; a missing key is certain.
+    assert send(served, 'q4', X_Key='new').status == UNAVAILABLE
+    assert send(served, 'q5').status == UNAUTHENTICATED
     served.store.faults.is_silent = False
     wait_for(
-        lambda: ask(served, 'q6', X_Key=KEY).status == OK,
+        lambda: send(served, 'q6', X_Key=KEY).status == OK,
         'it serves again',
     )
 
 
-def test_a_key_is_written_and_sent_nowhere(
+def test_a_key_is_neither_written_nor_sent_anywhere(
     served: HostedSite,
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """Logs, metrics, the store and disks, for answers that go wrong too."""
+    """Checks logs, metrics, the store and disks, also for failed requests."""
     written = io.StringIO()
-    ask(served, 'q1', X_Key=KEY)
+    send(served, 'q1', X_Key=KEY)
     served.replicas[0].faults.break_after = 3
     served.replicas[1].faults.fail = 2
     for number in range(4):
@@ -213,8 +223,8 @@
     assert KEY not in written.getvalue()
 
 
-def test_one_customer_has_no_request_of_another_refused(served) -> None:
-    """The same bytes to the same path, under which upstreams ended before."""
+def test_a_refused_request_is_not_refused_for_another_customer(served) -> None:
+    """Both send the same content, which crashed upstreams, to the same path."""
     for number in range(4):
         served.add_replica(f'i-more-{number}')
     for replica in served.replicas:
@@ -229,9 +239,9 @@
     wait_for(is_refused, 'it is refused')
     for replica in served.replicas:
         replica.faults.is_cured = True
-    foreign = ('POST', '/ask/x', 'e', DEADLY_BODY)
+    request = ('POST', '/ask/x', 'e', DEADLY_BODY)
     wait_for(
-        lambda: served.call(*foreign, X_Key=FOREIGN_KEY).status == OK,
+        lambda: served.call(*request, X_Key=SECOND_CUSTOMER_KEY).status == OK,
         'the other customer is served',
     )
     assert is_refused()
--- a/tests/hosted/test_proofs.py
+++ b/tests/hosted/test_proofs.py
@@ -1,8 +1,8 @@
-"""What a told age may be trusted for, whatever delays it.
+"""Tests that no request runs with a key revoked longer ago than the bound.
 
-A key is taken away at a moment that the store confirms.  A request that was
-sent later than the bound must not run, also where the process that reads, the
-one that is told, or the way between them stands still at any point.
+A key is revoked at the moment that the store confirms.  The bound must hold
+even if the process that reads the store, the entry, or the network between
+them stalls at any point.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 BOUND = 5.0
 TAKEN_AWAY_AT = 100.0
 OLD, NEW = 7, 8
-# Most steps take no time; what stands still does so for seconds.
+# Most steps take no time; a stalled one takes seconds.
 delays = st.sampled_from([0, 0, 0, 0.01, 0.3, 1, 2, 4, 5, 9])
 
 
 class World:
-    """A clock, a store whose key changes once, and delays everywhere."""
+    """A clock, a store whose key changes once, and a delay at each step."""
 
     def __init__(self, steps: list[float]) -> None:
         self.now = TAKEN_AWAY_AT - 6
@@ -60,7 +60,7 @@
 
 
 class Configuration:
-    """What is in force at the entry; its watch is silent."""
+    """Configuration of an entry whose watch delivers nothing."""
 
     revision = OLD
 
@@ -70,7 +70,7 @@
 
 @pytest.fixture
 def patched(monkeypatch: pytest.MonkeyPatch):
-    """Give a function that has all modules use one clock."""
+    """Provide a function that makes all modules use the clock of a world."""
 
     def patch(world: World) -> None:
         for module in (knowledge, newest, proofs):
@@ -79,40 +79,40 @@
     return patch
 
 
-def make_entry(world: World, configuration: Configuration, desk):
+def make_entry(world: World, configuration: Configuration, handler):
     def call(_address: str, _raw: bytes, _patience: float):
         world.pass_time()
-        reply = Reply(200, desk._answer(None).body)
+        reply = Reply(200, handler._answer(None).body)
         world.pass_time()
         return Ok(reply)
 
-    told = proofs.FreshnessProver(
+    prover = proofs.FreshnessProver(
         world,
         configuration,
         SimpleNamespace(call=call),
         lambda: ['reader:1'],
         random.Random(1),
     )
-    return knowledge.ConfigurationKnowledge(configuration, BOUND, told.prove)
+    return knowledge.ConfigurationKnowledge(configuration, BOUND, prover.prove)
 
 
-# The store answers late, and the reading is told on at once.
+# The store responds late, and the reading is forwarded at once.
 @example([0, 0, 9, 0, 0, 0, 0, 0, 4])
 @settings(max_examples=1000)
 @given(st.lists(delays, min_size=20, max_size=40))
-def test_nothing_is_judged_by_knowledge_beyond_the_bound(steps) -> None:
+def test_no_key_is_accepted_beyond_the_bound(steps) -> None:
     world = World(steps)
     with pytest.MonkeyPatch.context() as patching:
         for module in (knowledge, newest, proofs):
             patching.setattr(module, 'read_clock', world.read_clock)
         configuration = Configuration()
-        desk = newest.NewestHandler(world, BOUND)
-        entry = make_entry(world, configuration, desk)
+        handler = newest.NewestHandler(world, BOUND)
+        entry = make_entry(world, configuration, handler)
         for _round in range(8):
             entry._take(entry._prove())
             world.pass_time()
             sent_at = world.now
-            # The process may stand still before it looks at the request.
+            # The process may stall before it checks the request.
             world.pass_time()
             knows_key = configuration.revision == OLD
             may_run = knows_key and freshness.may_judge(
@@ -122,11 +122,11 @@
             assert not may_run or sent_at <= TAKEN_AWAY_AT + BOUND
 
 
-def test_one_reading_serves_all_who_ask_soon(patched) -> None:
+def test_concurrent_entries_share_one_reading(patched) -> None:
     world = World([])
     patched(world)
-    desk = newest.NewestHandler(world, BOUND)
-    entries = [make_entry(world, Configuration(), desk) for _ in range(50)]
+    handler = newest.NewestHandler(world, BOUND)
+    entries = [make_entry(world, Configuration(), handler) for _ in range(50)]
     for entry in entries:
         entry._take(entry._prove())
         world.now += 0.01
@@ -134,7 +134,7 @@
     assert all(entry.measure().age < BOUND / 4 for entry in entries)
 
 
-def test_what_is_newer_than_the_watch_is_read_at_once(patched) -> None:
+def test_a_revision_newer_than_the_watch_is_read_at_once(patched) -> None:
     world = World([])
     patched(world)
     world.now = TAKEN_AWAY_AT + 0.1
@@ -145,25 +145,25 @@
     assert entry.measure().age < 0.1
 
 
-def test_a_reader_that_lost_the_store_proves_nothing(patched) -> None:
+def test_a_reader_without_the_store_gives_no_reading(patched) -> None:
     world = World([])
     patched(world)
     world.get = lambda _key: Err(Failure.unavailable)
     pool = SimpleNamespace(call=lambda *_given: Ok(Reply(503, b'{}')))
-    told = proofs.FreshnessProver(
+    prover = proofs.FreshnessProver(
         world,
         Configuration(),
         pool,
         lambda: ['reader:1'],
         random.Random(1),
     )
-    assert told.prove() is None
+    assert prover.prove() is None
 
 
-def test_a_told_reading_bears_no_key(patched) -> None:
+def test_a_reading_message_contains_no_key(patched) -> None:
     world = World([])
     patched(world)
-    told = msgspec.json.decode(
+    message = msgspec.json.decode(
         newest.NewestHandler(world, BOUND)._answer(None).body
     )
-    assert set(told) == {'revision', 'age'}
+    assert set(message) == {'revision', 'age'}
--- a/tests/hosted/test_reservations.py
+++ b/tests/hosted/test_reservations.py
@@ -1,4 +1,4 @@
-"""Slots that are set aside for questions on their way."""
+"""Tests the reservation of slots for requests that are about to be sent."""
 
 from __future__ import annotations
 
@@ -17,57 +17,59 @@
     states = site.entries[0]._replicas.list_upstreams
     wait_for(
         lambda: states() and all(state.fed_until for state in states()),
-        'the load of each upstream is told',
+        'the load of each upstream is reported',
     )
 
 
 @pytest.mark.parametrize('path', ['/ask/', '/once/'])
-def test_a_held_question_takes_a_slot_that_comes_up(
+def test_a_waiting_request_gets_the_slot_of_a_new_upstream(
     site: HostedSite, path: str
 ) -> None:
-    """It has not been sent before, so that it runs once on either route."""
+    """It was not sent before, so it runs once on either kind of route."""
     site.start(replicas=1, slots=1, event_seconds=0.2)
     _wait_until_fed(site)
-    asked = [
+    calls = [
         gevent.spawn(site.call, 'POST', f'{path}{number}', f'q{number}')
         for number in range(2)
     ]
     wait_for(lambda: site.replicas[0].running == 1, 'one runs')
     site.add_replica('i-1', slots=1, event_seconds=0.2)
-    replies = [greenlet.get() for greenlet in asked]
+    replies = [greenlet.get() for greenlet in calls]
     assert [reply.body.count(b'data') for reply in replies] == [10, 10]
     assert sum(site.replicas[0].runs.values()) == 1
     assert sum(site.replicas[1].runs.values()) == 1
 
 
-def test_an_item_gives_way_before_the_question_is_sent(
+def test_a_reservation_preempts_an_item_at_once(
     site: HostedSite, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Not at the next tick, which is far away here."""
+    """The next tick of the item runner is 4 s away here."""
     site.start(replicas=1, slots=1, event_seconds=0.1)
     _wait_until_fed(site)
     site.hand_in('j', 1)
     wait_for(lambda: site.replicas[0].running == 1, 'the item runs')
     monkeypatch.setattr(runner, 'TICK_SECONDS', 4.0)
     gevent.sleep(0.1)
-    began = time.monotonic()
+    started_at = time.monotonic()
     assert site.call('POST', '/once/1', 'q1').status == 200
-    # Its own ten events, and not what is left of the item's or of the tick.
-    assert time.monotonic() - began < 1.4
+    # Time for its ten events, but not for the rest of the item or of the tick.
+    assert time.monotonic() - started_at < 1.4
 
 
-def test_whoever_does_not_answer_is_not_waited_for(site: HostedSite) -> None:
-    """Its last line of load still counts as fresh."""
+def test_a_worker_that_does_not_respond_is_not_waited_for(
+    site: HostedSite,
+) -> None:
+    """Its last reported load still counts as fresh."""
     site.start(replicas=1)
     _wait_until_fed(site)
     site.workers[0]._server.stop()
-    began = time.monotonic()
+    started_at = time.monotonic()
     assert site.call('POST', '/ask/1', 'q1').status == 200
-    assert time.monotonic() - began < 0.5
+    assert time.monotonic() - started_at < 0.5
 
 
-def test_a_slot_is_given_back_once_the_upstream_shows_its_question() -> None:
-    book = SlotTable()
-    book.add(10.0)
-    assert book.count(looked_at=10.0 + ARRIVAL_SECONDS / 2) == 1
-    assert book.count(looked_at=10.0 + ARRIVAL_SECONDS) == 0
+def test_a_reservation_expires_once_the_load_includes_its_request() -> None:
+    slots = SlotTable()
+    slots.add(10.0)
+    assert slots.count(looked_at=10.0 + ARRIVAL_SECONDS / 2) == 1
+    assert slots.count(looked_at=10.0 + ARRIVAL_SECONDS) == 0
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -1,4 +1,4 @@
-"""What a waiting question does, by what its sender knows."""
+"""Tests what the sender does with requests that wait."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def build_sender(*loads: int) -> QuestionSender:
-    """Make a sender before upstreams with these fresh loads, of 8 slots."""
+    """Make a sender for upstreams of 8 slots with these fresh loads."""
     now = time.monotonic()
     states = [
         build_upstream(f'vm-{number}', service=SERVICE)
@@ -39,7 +39,10 @@
 
 @pytest.mark.parametrize('has_begun', [False, True])
 def test_a_stream_that_has_begun_does_not_step_back(has_begun: bool) -> None:
-    """Its caller would leave; one that waits for its first event may wait."""
+    """The pause would make its caller disconnect.
+
+    A request without its first event steps back.
+    """
     sender = build_sender(12, 12)
     current = sender.binder.replicas.list_upstreams()[0]
     question = make_question(waited=1.0, has_begun=has_begun)
@@ -47,12 +50,12 @@
     if has_begun:
         sender._check_queue(question, current)
         return
-    with pytest.raises(QueueLeftError) as left:
+    with pytest.raises(QueueLeftError) as raised:
         sender._check_queue(question, current)
-    assert left.value.reason is SendFailure.late
+    assert raised.value.reason is SendFailure.late
 
 
-def test_a_question_with_nowhere_to_go_stays() -> None:
+def test_a_request_without_another_upstream_stays() -> None:
     sender = build_sender(12)
     current = sender.binder.replicas.list_upstreams()[0]
     question = make_question(waited=1.0)
@@ -60,8 +63,8 @@
     sender._check_queue(question, current)
 
 
-def test_a_question_whose_time_ends_while_a_slot_is_asked_for() -> None:
-    """It is not sent with a time below zero."""
+def test_a_request_that_times_out_during_a_reservation_is_not_sent() -> None:
+    """It was sent with a negative time-out."""
     sender = build_sender(0)
 
     def ask(*_given: object, **_named: object) -> Answer:
@@ -75,8 +78,8 @@
     assert not question.sends
 
 
-def test_a_question_for_which_nobody_is_there_is_not_held() -> None:
+def test_a_request_without_any_upstream_fails_at_once() -> None:
     sender = build_sender()
-    began = time.monotonic()
+    started_at = time.monotonic()
     assert sender.send(make_question()) == Err(SendFailure.no_upstream)
-    assert time.monotonic() - began < 0.1
+    assert time.monotonic() - started_at < 0.1
