--- a/src/wigeonpier/hosted/loadfollower.py
+++ b/src/wigeonpier/hosted/loadfollower.py
@@ -119,7 +119,7 @@
 
     def _read(self, address: str, exchange: Exchange) -> None:
         raw = make_request('GET', LOAD_PATH, [('Host', address)])
-        why = 'the feed ended'
+        reason = 'the feed ended'
         is_followed = False
         try:
             exchange.send(raw, READ_TIMEOUT_SECONDS)
@@ -131,16 +131,16 @@
                     self._listeners.on_followed(address)
                     log_event(Event.load_followed, address=address)
         except (OSError, msgspec.DecodeError) as error:
-            why = f'{type(error).__name__}: {error}'
+            reason = f'{type(error).__name__}: {error}'
         finally:
             exchange.abort()
             exchange.close()
-        self._record_loss(address, why)
+        self._record_loss(address, reason)
 
-    def _record_loss(self, address: str, why: str) -> None:
+    def _record_loss(self, address: str, reason: str) -> None:
         if address not in self._lost_feeds:
             self._lost_feeds.add(address)
-            log_event(Event.load_lost, address=address, why=why)
+            log_event(Event.load_lost, address=address, why=reason)
 
     def _dispatch(self, address: str, line: bytes) -> None:
         message = msgspec.json.decode(line, type=FeedLine)
--- a/src/wigeonpier/hosted/quarantine/publisher.py
+++ b/src/wigeonpier/hosted/quarantine/publisher.py
@@ -74,8 +74,8 @@
         raw = make_request('PUT', target, [('Host', disk.address)], content)
         called = self._pool.call(disk.address, raw, WRITE_TIMEOUT_SECONDS)
         if isinstance(called, Err) or not called.ok_value.is_good:
-            why = f'the disk of {disk.name} did not store it'
-            log_event(Event.refusal_unkept, fingerprint=fingerprint, why=why)
+            reason = f'the disk of {disk.name} did not store it'
+            log_event(Event.refusal_unkept, fingerprint=fingerprint, why=reason)
 
     def _fetch(self, disk: DiskMember) -> None:
         raw = make_request('GET', QUARANTINE_PATH, [('Host', disk.address)])
--- a/src/wigeonpier/hosted/quarantine/replica.py
+++ b/src/wigeonpier/hosted/quarantine/replica.py
@@ -193,8 +193,8 @@
 
 def _update_ages(entry: QuarantineEntry, seconds: float) -> QuarantineEntry:
     """Add the time since an entry was received to the ages of its crashes."""
-    ends = tuple(
-        msgspec.structs.replace(end, age=end.age + seconds)
-        for end in entry.ends
+    crashes = tuple(
+        msgspec.structs.replace(crash, age=crash.age + seconds)
+        for crash in entry.ends
     )
-    return QuarantineEntry(ends, 0, entry.is_proved)
+    return QuarantineEntry(crashes, 0, entry.is_proved)
--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -76,8 +76,8 @@
         :param fingerprint: digest of the request.
         """
         if not self._suspicions.is_refused(fingerprint):
-            ends = tuple(self._suspicions.list_ends(fingerprint))
-            if len(ends) >= CRASHES_BEFORE_ISOLATION:
+            crashes = tuple(self._suspicions.list_ends(fingerprint))
+            if len(crashes) >= CRASHES_BEFORE_ISOLATION:
                 self.replicate(fingerprint, self._encode(fingerprint))
             return
         is_writing = bool(self._unwritten)
@@ -141,9 +141,11 @@
             if age > MEMORY_SECONDS + MAX_CLOCK_SKEW_SECONDS:
                 gevent.spawn(self.forget, fingerprint)
             elif age <= MEMORY_SECONDS:
-                ends = tuple(_add_age(entry.ends, age))
+                crashes = tuple(_add_age(entry.ends, age))
                 confirmed = (fingerprint,) if entry.is_proved else ()
-                self._suspicions.merge(SuspicionNews(ends, condemned=confirmed))
+                self._suspicions.merge(
+                    SuspicionNews(crashes, condemned=confirmed)
+                )
 
     def _write_all(self) -> None:
         """Write until the store has accepted all entries."""
@@ -171,19 +173,21 @@
             self.replicate(fingerprint, self._encode(fingerprint))
 
     def _encode(self, fingerprint: str) -> bytes:
-        ends = tuple(self._suspicions.list_ends(fingerprint))
+        crashes = tuple(self._suspicions.list_ends(fingerprint))
         is_proved = self._suspicions.is_refused(fingerprint)
         return msgspec.json.encode(
-            QuarantineEntry(ends, time.time(), is_proved),
+            QuarantineEntry(crashes, time.time(), is_proved),
         )
 
-    def _log_failure(self, fingerprint: str, why: str) -> None:
-        log_event(Event.refusal_unkept, fingerprint=fingerprint, why=why)
+    def _log_failure(self, fingerprint: str, reason: str) -> None:
+        log_event(Event.refusal_unkept, fingerprint=fingerprint, why=reason)
 
 
 def _ignore_entry(_fingerprint: str, _content: bytes) -> None:
     """Do nothing, in processes that do not know the disks."""
 
 
-def _add_age(ends: Iterable[EndNews], age: float) -> Iterable[EndNews]:
-    return (msgspec.structs.replace(end, age=end.age + age) for end in ends)
+def _add_age(crashes: Iterable[EndNews], age: float) -> Iterable[EndNews]:
+    return (
+        msgspec.structs.replace(crash, age=crash.age + age) for crash in crashes
+    )
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -186,7 +186,7 @@
             ),
         )
 
-    def hold(self, upstream: UpstreamState, exchange: Exchange) -> None:
+    def attach(self, upstream: UpstreamState, exchange: Exchange) -> None:
         """Record that the request may run at an upstream from now on.
 
         :param upstream: the upstream.
@@ -212,7 +212,7 @@
             self.exchange.close()
             self.exchange = None
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Cancel the request at the upstream after the caller disconnected."""
         self.is_gone = True
         if self.exchange is not None:
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -94,7 +94,7 @@
             self._limiter.admit(arrival.customer, arrival.head.identity)
         question.watcher = watch_close(
             arrival.request.connection,
-            question.leave,
+            question.abandon,
         )
         try:
             return self._answer(question)
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -34,7 +34,7 @@
     from wigeonpier.web.exchange import Exchange
     from wigeonpier.web.pool import ConnectionPool
 
-# A send that is rejected before it runs costs a few ms; as many rejections
+# A send that is rejected before it runs costs a few ms; this many rejections
 # show that the service is full.
 MAX_SENDS = 4
 # An upstream may close an idle connection without notice, and a request sent
@@ -176,7 +176,7 @@
         if isinstance(opened, Err):
             return Err(SendFailure.no_connection)
         exchange = opened.ok_value
-        question.hold(upstream, exchange)
+        question.attach(upstream, exchange)
         try:
             self._await_head(question, upstream, exchange)
         except QueueLeftError as departure:
--- a/src/wigeonpier/hosted/suspectpage.py
+++ b/src/wigeonpier/hosted/suspectpage.py
@@ -87,12 +87,12 @@
         )
 
     def _clear(self, _request: Request, fingerprint: str) -> Response:
-        news = self._suspicions.clear(fingerprint)
-        if not news.cleared:
+        update = self._suspicions.clear(fingerprint)
+        if not update.cleared:
             raise Refusal(
                 ErrorKind.not_found,
                 f'nothing is held against {fingerprint} here',
             )
-        self._publisher.publish(news)
+        self._publisher.publish(update)
         self._quarantine.forget(fingerprint)
         return answer_json({'cleared': fingerprint})
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -114,7 +114,7 @@
         # its time is up, which is no crash.
         if upstream.is_leaving:
             return
-        news = self.suspicions.note_end(
+        update = self.suspicions.note_end(
             question.fingerprint,
             upstream.start,
             upstream.version,
@@ -122,8 +122,8 @@
             had_output=question.sends[-1].had_output,
         )
         self.metrics.count('suspected_total')
-        self.publisher.publish(news, upstream.address)
-        if news.ends:
+        self.publisher.publish(update, upstream.address)
+        if update.ends:
             self.quarantine.note(question.fingerprint)
 
     def record_possible_crash(
@@ -154,17 +154,17 @@
         :param upstream: the replaced incarnation.
         """
         self._drop_expired()
-        for loss in self.possible_crashes:
-            if loss.upstream == upstream.start and not upstream.is_leaving:
-                news = self.suspicions.note_end(
-                    loss.fingerprint,
-                    loss.upstream,
+        for crash in self.possible_crashes:
+            if crash.upstream == upstream.start and not upstream.is_leaving:
+                update = self.suspicions.note_end(
+                    crash.fingerprint,
+                    crash.upstream,
                     upstream.version,
-                    was_alone=loss.was_alone,
-                    had_output=loss.had_output,
+                    was_alone=crash.was_alone,
+                    had_output=crash.had_output,
                 )
-                self.publisher.publish(news, upstream.address)
-                self.quarantine.note(loss.fingerprint)
+                self.publisher.publish(update, upstream.address)
+                self.quarantine.note(crash.fingerprint)
 
     def record_completion(
         self, question: Question, upstream: UpstreamState
@@ -176,8 +176,8 @@
         """
         if self.suspicions.is_empty:
             return
-        news = self.suspicions.clear(question.fingerprint)
-        self.publisher.publish(news, upstream.address)
+        update = self.suspicions.clear(question.fingerprint)
+        self.publisher.publish(update, upstream.address)
 
     def record_refusal(self, question: Question) -> None:
         """Record that a request is refused because it crashes upstreams.
@@ -191,9 +191,9 @@
             fingerprint=question.fingerprint,
             caller=question.request.caller,
         )
-        news = self.suspicions.note_repeat(question.fingerprint)
-        self.publisher.publish(news)
-        if news.kept:
+        update = self.suspicions.note_repeat(question.fingerprint)
+        self.publisher.publish(update)
+        if update.kept:
             self.quarantine.note(question.fingerprint)
 
     def _judge_by_crashes(self, question: Question) -> Standing:
--- a/src/wigeonpier/hosted/suspicionhandler.py
+++ b/src/wigeonpier/hosted/suspicionhandler.py
@@ -47,7 +47,7 @@
         # may have been at this upstream.
         for fingerprint in update.cleared:
             self._trials.leave(fingerprint)
-        for end in update.ends:
-            self._trials.leave(end.fingerprint)
+        for crash in update.ends:
+            self._trials.leave(crash.fingerprint)
         self._suspicions.merge(update)
         return Response(HTTPStatus.OK, b'{}')
--- a/src/wigeonpier/hosted/suspicionpublisher.py
+++ b/src/wigeonpier/hosted/suspicionpublisher.py
@@ -82,9 +82,9 @@
 
         :param update: the update.
         """
-        for end in update.ends:
-            if end.age < ON_ITS_WAY_SECONDS:
-                self._replicas.note_end(end.upstream)
+        for crash in update.ends:
+            if crash.age < ON_ITS_WAY_SECONDS:
+                self._replicas.note_end(crash.upstream)
         new = self._suspicions.merge(update)
         if new != SuspicionNews():
             self._send(new, self._draw_addresses(FORWARD_RECIPIENTS))
@@ -103,7 +103,7 @@
         self._pending = []
         self._involved_addresses = set()
         update = SuspicionNews(
-            tuple(end for one in pending for end in one.ends),
+            tuple(crash for one in pending for crash in one.ends),
             tuple(name for one in pending for name in one.cleared),
             tuple(name for one in pending for name in one.kept),
             tuple(name for one in pending for name in one.condemned),
@@ -113,8 +113,8 @@
         )
 
     def _draw_addresses(self, count: int) -> set[str]:
-        known = [state.address for state in self._replicas.list_upstreams()]
-        return set(self._rng.sample(known, min(count, len(known))))
+        addresses = [state.address for state in self._replicas.list_upstreams()]
+        return set(self._rng.sample(addresses, min(count, len(addresses))))
 
     def _send(self, update: SuspicionNews, addresses: set[str]) -> None:
         body = msgspec.json.encode(update)
