--- a/src/wigeonpier/membership/__init__.py
+++ b/src/wigeonpier/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which processes live, and what they tell each other."""
+"""Tracks the live processes and the messages between them."""
--- a/src/wigeonpier/membership/directory.py
+++ b/src/wigeonpier/membership/directory.py
@@ -1,4 +1,4 @@
-"""An entry's view of the fleet, made of heartbeats, outcomes and VM list."""
+"""Fleet state of an entry, built from heartbeats, outcomes and the VM list."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 @dataclass(slots=True)
 class Member:
-    """One process that was heard of.
+    """One process that has sent heartbeats.
 
-    :param heartbeat: what it said last.
-    :param seen: when, seconds.
+    :param heartbeat: its last heartbeat.
+    :param seen: when it arrived, seconds.
     """
 
     heartbeat: Heartbeat
@@ -35,10 +35,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DiskHome:
-    """Where a data folder was last heard of.
+class DiskSighting:
+    """Last report of a data folder.
 
-    :param vm: name of its VM.
+    :param vm: name of the VM that reported it.
     :param seen: when, seconds.
     """
 
@@ -48,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """What each reply to a heartbeat tells of the fleet.
+    """Fleet state that replies to heartbeats carry.
 
-    :param made: when it was put together, seconds.
+    :param made: when it was built, seconds.
     :param entries: addresses of live entries.
-    :param disks: data folders in reach.
-    :param gone: data folders that will not come back.
+    :param disks: reachable data folders.
+    :param gone: data folders that are lost for good.
     """
 
     made: float
@@ -66,14 +66,14 @@
 class Directory:
     """Processes, upstreams and disks that an entry knows.
 
-    :param clock: gives seconds.
-    :param find_region: gives the region of a data centre.
+    :param clock: returns seconds.
+    :param find_region: returns the region of a data centre.
     :param members: processes by name.
     :param upstreams: upstreams by name.
-    :param leaving_vms: VMs that the list or an operator says are leaving.
-    :param listed_vms: VMs that the list shows.
-    :param homes: data folders that were ever heard of, by incarnation.
-    :param told_gone: folders that other entries know to be gone.
+    :param leaving_vms: VMs that are leaving, by the VM list or an operator.
+    :param listed_vms: VMs on the VM list.
+    :param homes: data folders that were ever reported, by incarnation.
+    :param reported_gone: folders that other entries reported as gone.
     """
 
     clock: Callable[[], float]
@@ -82,28 +82,28 @@
     upstreams: dict[str, UpstreamState] = field(default_factory=dict)
     leaving_vms: set[str] = field(default_factory=set)
     listed_vms: dict[str, Vm] = field(default_factory=dict)
-    homes: dict[str, DiskHome] = field(default_factory=dict)
-    told_gone: set[str] = field(default_factory=set)
+    homes: dict[str, DiskSighting] = field(default_factory=dict)
+    reported_gone: set[str] = field(default_factory=set)
     _news: News | None = None
 
     def note_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take in what a process says of itself.
+        """Record the heartbeat of a process.
 
-        :param heartbeat: its report.
+        :param heartbeat: the heartbeat.
         """
         now = self.clock()
-        is_new = not self._knows_boot(heartbeat)
+        is_new = not self._is_known_start(heartbeat)
         self.members[heartbeat.name] = Member(heartbeat, now)
         if heartbeat.disk is not None:
             incarnation = heartbeat.disk.incarnation
-            self.homes[incarnation] = DiskHome(heartbeat.name, now)
+            self.homes[incarnation] = DiskSighting(heartbeat.name, now)
         if heartbeat.upstream is not None:
             self._note_upstream(heartbeat, now, is_new)
 
     def note_vms(self, vms: tuple[Vm, ...]) -> None:
-        """Take in the VM list.
+        """Replace the VM list.
 
-        :param vms: what it shows.
+        :param vms: the new list.
         """
         self.listed_vms = {vm.name: vm for vm in vms}
         for vm in vms:
@@ -111,7 +111,7 @@
                 self.mark_leaving(vm.name)
 
     def mark_leaving(self, name: str) -> None:
-        """Give a VM no new work from now on.
+        """Mark a VM as leaving, so that it receives no new work.
 
         :param name: name of the VM.
         """
@@ -123,7 +123,7 @@
             state.is_leaving = True
 
     def unmark_leaving(self, name: str) -> None:
-        """Let an operator take a drain back.
+        """Undo an operator's drain of a VM.
 
         :param name: name of the VM.
         """
@@ -134,14 +134,14 @@
             state.is_leaving = member.heartbeat.is_leaving
 
     def list_upstreams(self) -> list[UpstreamState]:
-        """List upstreams that were heard of lately.
+        """List upstreams with a recent heartbeat.
 
-        Where all are silent the entry itself may be cut off, so the last
-        known ones are tried; their outcomes tell.
+        If all are silent the entry itself may be cut off; then all known
+        upstreams are listed, and the outcomes of requests decide.
 
         :returns: routing states, leaving ones included.
         """
-        self._forget_silent()
+        self._remove_silent()
         now = self.clock()
         fresh = [
             state
@@ -151,7 +151,7 @@
         return fresh or list(self.upstreams.values())
 
     def list_disks(self) -> list[Disk]:
-        """List data folders that were heard of lately.
+        """List data folders with a recent heartbeat.
 
         :returns: folders that may be chosen.
         """
@@ -170,37 +170,38 @@
         ]
 
     def list_gone(self) -> tuple[str, ...]:
-        """List data folders that will not come back.
+        """List data folders that are lost for good.
 
-        A folder is gone when its VM has shown another one, or when it has
-        been silent for long and its VM is not listed any more.
+        A folder is gone when its VM has reported another one, or when it has
+        been silent for ``GONE_SECONDS`` and its VM is no longer listed.
 
         :returns: incarnations.
         """
-        seen_gone = {
+        observed_gone = {
             incarnation
             for incarnation, home in self.homes.items()
             if self._is_gone(incarnation, home)
         }
-        there = {disk.incarnation for disk in self.report_disks()}
-        return tuple(sorted((seen_gone | self.told_gone) - there))
+        live = {disk.incarnation for disk in self.report_disks()}
+        return tuple(sorted((observed_gone | self.reported_gone) - live))
 
     def note_gone(self, gone: tuple[str, ...]) -> None:
-        """Take in what another entry knows to be gone.
+        """Record folders that another entry reports as gone.
 
-        An entry that has just started may be the one that has to act, and
-        has never heard of the folder itself.
+        An entry that has just started may have to act on a folder without
+        ever having received a heartbeat of it.
 
         :param gone: incarnations.
         """
-        self.told_gone.update(gone)
+        self.reported_gone.update(gone)
 
     def collect_news(self) -> News:
-        """Give what replies tell, put together a few times a second.
+        """Collect the fleet state for replies, at most a few times a second.
 
-        Doing it for each heartbeat would cost the square of the fleet.
+        Building it for each heartbeat would cost time in proportion to the
+        square of the fleet's size.
 
-        :returns: the news.
+        :returns: the fleet state.
         """
         now = self.clock()
         if self._news is None or now - self._news.made > NEWS_SECONDS:
@@ -213,9 +214,9 @@
         return self._news
 
     def report_disks(self) -> tuple[DiskReport, ...]:
-        """List data folders for peers.
+        """List the reports of live data folders for peers.
 
-        :returns: what the folders' processes reported.
+        :returns: the reports.
         """
         now = self.clock()
         return tuple(
@@ -233,14 +234,14 @@
         return self._list_entries(FORGET_SECONDS)
 
     def list_live_entries(self) -> list[str]:
-        """List addresses of entries that do not miss heartbeats.
+        """List addresses of entries that miss no heartbeats.
 
         :returns: ``host:port``, sorted.
         """
         return self._list_entries(SILENT_SECONDS)
 
     def list_models(self) -> list[str]:
-        """List models that some upstream serves.
+        """List models that at least one upstream serves.
 
         :returns: names, sorted.
         """
@@ -252,25 +253,25 @@
             }
         )
 
-    def _list_entries(self, longest_silence: float) -> list[str]:
+    def _list_entries(self, max_silence: float) -> list[str]:
         now = self.clock()
         return sorted(
             member.heartbeat.address
             for member in self.members.values()
             if member.heartbeat.role is Role.entry
             and not member.heartbeat.is_leaving
-            and now - member.seen <= longest_silence
+            and now - member.seen <= max_silence
         )
 
-    def _is_gone(self, incarnation: str, home: DiskHome) -> bool:
+    def _is_gone(self, incarnation: str, home: DiskSighting) -> bool:
         member = self.members.get(home.vm)
-        shown = member.heartbeat.disk if member else None
-        if shown is not None and shown.incarnation != incarnation:
+        current = member.heartbeat.disk if member else None
+        if current is not None and current.incarnation != incarnation:
             return True
         is_silent = self.clock() - home.seen > GONE_SECONDS
         return is_silent and home.vm not in self.listed_vms
 
-    def _knows_boot(self, heartbeat: Heartbeat) -> bool:
+    def _is_known_start(self, heartbeat: Heartbeat) -> bool:
         known = self.members.get(heartbeat.name)
         return known is not None and known.heartbeat.boot == heartbeat.boot
 
@@ -305,7 +306,7 @@
             or heartbeat.name in self.leaving_vms
         )
 
-    def _forget_silent(self) -> None:
+    def _remove_silent(self) -> None:
         now = self.clock()
         for name, member in list(self.members.items()):
             gone = now - member.seen > FORGET_SECONDS
--- a/src/wigeonpier/membership/ends.py
+++ b/src/wigeonpier/membership/ends.py
@@ -1,8 +1,8 @@
-"""Finds out whether an upstream has ended, or only a connection to it.
+"""Detects whether an upstream crashed or only a connection to it broke.
 
-A connection breaks for many reasons.  Where the process behind it has ended
-its VM refuses the next connection at once; the register tells of it only when
-a lease has run out, some heartbeats later.
+A connection breaks for many reasons.  If the process behind it has crashed,
+its VM refuses the next connection at once; the register shows this only when
+the lease has expired, some heartbeats later.
 """
 
 from __future__ import annotations
@@ -21,58 +21,59 @@
     from wigeonpier.web.pool import ConnectionPool
 
 # A VM in the next data centre answers within 3 ms, a busy process within some
-# tens; whoever waits longer waits for a VM that is gone or cut off.
-ANSWER_SECONDS = 0.1
-# No process ends twice within it, since it takes longer to start.
-SAME_END_SECONDS = 1.0
+# tens of milliseconds; a VM that takes longer is gone or cut off.
+PROBE_TIMEOUT_SECONDS = 0.1
+# No process crashes twice within this time, since it takes longer to start.
+SAME_CRASH_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class EndFinder:
-    """Asks each address at most once at a time.
+    """Probes addresses, each with at most one probe at a time.
 
-    :param pool: connections; one that is opened here is kept there.
+    :param pool: connections; one that a probe opens is kept there.
     """
 
     pool: ConnectionPool
-    _ended: dict[str, float] = field(default_factory=dict)
-    _asking: dict[str, gevent.Greenlet[..., None]] = field(
+    _crashed: dict[str, float] = field(default_factory=dict)
+    _probes: dict[str, gevent.Greenlet[..., None]] = field(
         default_factory=dict,
     )
 
     def has_ended(self, upstream: str, address: str) -> bool:
-        """Tell whether the process behind a broken connection has ended.
+        """Check whether the process behind a broken connection has crashed.
 
         :param upstream: id of the upstream.
         :param address: ``host:port`` at which it listened.
         :returns: true where the address refuses connections; false also
-            where nobody answers in time, since a cut shows the same.
+            without an answer in time, since a network partition looks the
+            same.
         """
-        if self._was_found(upstream):
+        if self._crashed_recently(upstream):
             return True
-        asking = self._asking.get(upstream)
-        if asking is None:
-            asking = gevent.spawn(self._ask, upstream, address)
-            self._asking[upstream] = asking
-        asking.join(ANSWER_SECONDS)
-        return self._was_found(upstream)
+        probe = self._probes.get(upstream)
+        if probe is None:
+            probe = gevent.spawn(self._probe, upstream, address)
+            self._probes[upstream] = probe
+        probe.join(PROBE_TIMEOUT_SECONDS)
+        return self._crashed_recently(upstream)
 
-    def _was_found(self, upstream: str) -> bool:
-        ended_at = self._ended.get(upstream)
-        if ended_at is None:
+    def _crashed_recently(self, upstream: str) -> bool:
+        crashed_at = self._crashed.get(upstream)
+        if crashed_at is None:
             return False
-        return time.monotonic() - ended_at < SAME_END_SECONDS
+        return time.monotonic() - crashed_at < SAME_CRASH_SECONDS
 
-    def _ask(self, upstream: str, address: str) -> None:
-        listening = self.pool.find_listener(address, ANSWER_SECONDS)
-        self._asking.pop(upstream)
-        if listening is not Listening.refused:
+    def _probe(self, upstream: str, address: str) -> None:
+        listener = self.pool.find_listener(address, PROBE_TIMEOUT_SECONDS)
+        self._probes.pop(upstream)
+        if listener is not Listening.refused:
             return
         now = time.monotonic()
-        self._ended = {
-            other: ended_at
-            for other, ended_at in self._ended.items()
-            if now - ended_at < SAME_END_SECONDS
+        self._crashed = {
+            other: crashed_at
+            for other, crashed_at in self._crashed.items()
+            if now - crashed_at < SAME_CRASH_SECONDS
         }
-        self._ended[upstream] = now
+        self._crashed[upstream] = now
         log_event(Event.upstream_ended, upstream=upstream, address=address)
--- a/src/wigeonpier/membership/exchange.py
+++ b/src/wigeonpier/membership/exchange.py
@@ -1,7 +1,7 @@
-"""Has two processes tell each other all that they know of suspected requests.
+"""Exchanges the suspected requests of two processes.
 
-Heartbeats carry the same, but come once a second; who has just lost a request,
-or is about to send a suspected one, asks at once.
+Heartbeats carry the same, but only once a second.  A process that has just
+lost a request, or is about to send a suspected one, exchanges at once.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
     from wigeonpier.web.client import HttpCaller
 
 EXCHANGE_PATH = '/peer/v1/suspicions'
-PATIENCE_SECONDS = 0.5
-MOST_NEWS_BYTES = 4_000_000
+TIMEOUT_SECONDS = 0.5
+MAX_UPDATE_BYTES = 4_000_000
 
 
 def exchange_suspicions(
@@ -29,33 +29,33 @@
     address: str,
     suspicions: Suspicions,
 ) -> None:
-    """Tell another process what is known here, and learn what it knows.
+    """Send the local state to another process and merge its state.
 
     :param caller: connections to peers.
     :param address: ``host:port`` of the other process.
-    :param suspicions: what is known here; where nobody answers it stays so,
-        and heartbeats tell later.
+    :param suspicions: local state; it is left as it is if the other process
+        does not answer, and heartbeats synchronize it later.
     """
     called = caller.call(
         address,
         'POST',
         EXCHANGE_PATH,
         msgspec.json.encode(suspicions.describe()),
-        patience=PATIENCE_SECONDS,
+        patience=TIMEOUT_SECONDS,
     )
     if not isinstance(called, Err) and called.ok_value.is_good:
         suspicions.merge(called.ok_value.decode(SuspicionNews))
 
 
 def make_exchange_route(suspicions: Suspicions) -> Route:
-    """Make the path on which others ask.
+    """Make the route on which other processes exchange suspicions.
 
-    :param suspicions: what is known here.
+    :param suspicions: local state.
     :returns: the route, for peers only.
     """
 
     def answer(request: Request) -> Response:
-        request.body_limit = MOST_NEWS_BYTES
+        request.body_limit = MAX_UPDATE_BYTES
         suspicions.merge(decode_body(request.read_body(), SuspicionNews))
         return answer_json(suspicions.describe())
 
--- a/src/wigeonpier/membership/messages.py
+++ b/src/wigeonpier/membership/messages.py
@@ -1,4 +1,4 @@
-"""What processes tell each other in heartbeats."""
+"""Messages of heartbeats and customer limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Role(StrEnum):
-    """What a process does."""
+    """Role of a process."""
 
     entry = 'entry'
     local = 'local'
@@ -23,8 +23,8 @@
 
     :param incarnation: its id.
     :param address: ``host:port`` of its process.
-    :param data_centre: where it stands.
-    :param free_bytes: room that is left.
+    :param data_centre: data centre of its VM.
+    :param free_bytes: free disk space, bytes.
     """
 
     incarnation: str
@@ -34,13 +34,13 @@
 
 
 class UpstreamReport(msgspec.Struct, frozen=True):
-    """The upstream beside a local process.
+    """The upstream on the VM of a local process.
 
     :param service: service that it is a replica of.
     :param models: models that it serves.
-    :param slots: streams that it runs within its target.
-    :param online: online requests that it has.
-    :param batch: batch items that it has.
+    :param slots: concurrent streams that it runs within its latency target.
+    :param online: online requests in progress.
+    :param batch: batch items in progress.
     :param is_well: whether it answers.
     """
 
@@ -53,7 +53,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True, array_like=True):
-    """What one entry admitted of one customer.
+    """Requests of one customer that one entry admitted.
 
     :param customer: name of the customer.
     :param requests: requests in the window of its limit.
@@ -67,15 +67,15 @@
 
 
 class LimitCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks the entry that counts for a customer to admit requests.
+    """Asks the entry that owns a customer's limit to admit requests.
 
-    :param entry: ``host:port`` of the entry that asks.
+    :param entry: ``host:port`` of the calling entry.
     :param customer: name of the customer.
-    :param requests: requests to admit, 0 for a report.
-    :param admitted: requests in the window, by the start of the process that
-        admitted them.
+    :param requests: requests to admit, 0 for a mere report.
+    :param admitted: requests in the window, by the start id of the process
+        that admitted them.
     :param in_progress: requests in progress at the entry.
-    :param tokens: tokens of answers that were not reported before.
+    :param tokens: tokens of answers that were not yet reported.
     :param requests_limit: requests a second over all entries.
     :param tokens_limit: tokens of answers a second.
     :param concurrent_limit: requests in progress.
@@ -95,10 +95,10 @@
 class LimitAnswer(msgspec.Struct, frozen=True):
     """Answers a :class:`LimitCall`.
 
-    :param owner: start of the process that decided.
+    :param owner: start id of the process that decided.
     :param exhausted: name of the limit that is reached, empty for none.
     :param retry_after: seconds until the requests would be admitted.
-    :param is_tight: whether requests that end are to be reported at once.
+    :param is_tight: whether finished requests must be reported at once.
     :param total: requests of all entries in the window.
     """
 
@@ -110,21 +110,21 @@
 
 
 class Heartbeat(msgspec.Struct, kw_only=True):
-    """What a process says of itself.
+    """State that a process reports to entries.
 
     :param name: name of its VM.
-    :param boot: drawn anew at each start.
-    :param role: what it does.
+    :param boot: random id of this start of the process.
+    :param role: its role.
     :param address: ``host:port`` for peers.
-    :param data_centre: where it stands.
-    :param is_leaving: whether it takes no new work.
-    :param version: configuration that it has in force.
-    :param upstream: the upstream beside it.
+    :param data_centre: data centre of its VM.
+    :param is_leaving: whether it accepts no new work.
+    :param version: version of its active configuration.
+    :param upstream: the upstream on its VM.
     :param disk: its data folder.
-    :param wants: batch items that it could take on now.
-    :param held: jobs of whose chunks it owns some.
+    :param wants: batch items that it could start now.
+    :param held: jobs of which it owns chunks.
     :param usage: active customers, from an entry.
-    :param suspicions: what it knows of requests that end upstreams.
+    :param suspicions: requests that it suspects of crashing upstreams.
     """
 
     name: str
@@ -145,7 +145,7 @@
 class Offer(msgspec.Struct, kw_only=True):
     """A chunk that a local process may claim.
 
-    :param job: the job as the entry knows it.
+    :param job: the job as last read by the entry.
     :param chunk: index of the chunk.
     :param revision: revision of the claim's key, 0 where there is none.
     :param claim: the claim that is replaced.
@@ -158,15 +158,15 @@
 
 
 class HeartbeatReply(msgspec.Struct, kw_only=True):
-    """What an entry tells a process.
+    """Reply of an entry to a heartbeat.
 
-    :param version: configuration that the entry has in force.
+    :param version: version of the entry's active configuration.
     :param entries: ``host:port`` of live entries.
-    :param disks: data folders in reach.
-    :param gone: data folders that will not come back.
+    :param disks: reachable data folders.
+    :param gone: data folders that are lost for good.
     :param offers: chunks to claim.
     :param stopped: held jobs that were cancelled.
-    :param suspicions: what the entry knows of requests that end upstreams.
+    :param suspicions: requests that the entry suspects of crashing upstreams.
     :param address: ``host:port`` of the entry.
     :param usage: active customers.
     """
--- a/src/wigeonpier/membership/news.py
+++ b/src/wigeonpier/membership/news.py
@@ -1,4 +1,4 @@
-"""What processes tell each other of suspected requests."""
+"""Messages between processes about suspected requests."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class EndNews(msgspec.Struct, frozen=True):
-    """An upstream that ended while a request was there, as it is told.
+    """Reports an upstream that crashed while a request ran there.
 
     :param fingerprint: the request.
     :param upstream: start of the upstream.
     :param version: version of its software.
-    :param age: how long ago it ended, seconds.
+    :param age: how long ago it crashed, seconds.
     :param was_alone: whether no other suspected request ran there.
     :param had_output: whether its run there had produced events.
     """
@@ -25,12 +25,12 @@
 
 
 class SuspicionNews(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What one process tells another of suspected requests.
+    """Changes of the suspected requests.
 
-    :param ends: upstreams that ended.
-    :param cleared: requests against which nothing is held any more.
-    :param kept: refused requests that came again just now.
-    :param condemned: requests that upstreams are known to end because of.
+    :param ends: crashes of upstreams.
+    :param cleared: requests that are no longer suspected.
+    :param kept: refused requests that were sent again just now.
+    :param condemned: requests confirmed to crash upstreams.
     """
 
     ends: tuple[EndNews, ...] = ()
--- a/src/wigeonpier/membership/reporter.py
+++ b/src/wigeonpier/membership/reporter.py
@@ -1,4 +1,4 @@
-"""Sends this process's heartbeats and takes in what entries tell."""
+"""Sends the heartbeats of this process and handles the replies."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
     from wigeonpier.web.client import HttpCaller
 
 PERIOD_SECONDS = 1.0
-PATIENCE_SECONDS = 1.0
-LEAST_GAP_SECONDS = 0.05
+TIMEOUT_SECONDS = 1.0
+MIN_GAP_SECONDS = 0.05
 HEARTBEAT_PATH = '/peer/v1/heartbeat'
 CONFIGURATION_PATH = '/peer/v1/configuration'
 
 
 @dataclass(slots=True)
 class Neighbours:
-    """What entries told this process.
+    """Fleet state that entries reported to this process.
 
     :param entries: addresses of live entries.
-    :param disks: data folders in reach, by incarnation.
-    :param gone: data folders that will not come back.
+    :param disks: reachable data folders, by incarnation.
+    :param gone: data folders that are lost for good.
     """
 
     entries: tuple[str, ...]
@@ -49,7 +49,7 @@
 
 
 class Reporter:
-    """Beats to a few entries once a second, or sooner when work is wanted."""
+    """Sends heartbeats to a few entries once a second, or sooner on demand."""
 
     def __init__(
         self,
@@ -60,10 +60,10 @@
         describe: Callable[[], Heartbeat],
         list_vms: Callable[[], Result[tuple[Vm, ...], Failure]],
     ) -> None:
-        """Beat to at most ``fan_out`` entries, chosen by this VM's name."""
+        """Send to at most ``fan_out`` entries, chosen by this VM's name."""
         self.neighbours = Neighbours(seeds)
         self.on_reply: Callable[[HeartbeatReply], None] = _ignore_reply
-        # Whether each known entry has been tried once.
+        # Whether a heartbeat has been sent to the chosen entries once.
         self.has_beaten = False
         self._caller = caller
         self._holder = holder
@@ -71,14 +71,14 @@
         self._fan_out = fan_out
         self._describe = describe
         self._list_vms = list_vms
-        self._sooner = Signal()
+        self._send_now = Signal()
 
     def start(self) -> None:
-        """Begin to beat."""
+        """Start to send heartbeats."""
         spawn_loop('heartbeat', self._run)
 
     def learn_entries(self, entries: list[str]) -> None:
-        """Take in entries that were heard of otherwise.
+        """Add entries that were learnt of other than by heartbeats.
 
         :param entries: ``host:port`` of live entries.
         """
@@ -88,19 +88,19 @@
         self.neighbours.entries = tuple(sorted(known | set(entries)))
 
     def hurry(self) -> None:
-        """Beat now rather than at the end of the period."""
-        self._sooner.set()
+        """Send the next heartbeat now instead of at the end of the period."""
+        self._send_now.set()
 
     def beat(self) -> None:
-        """Send one heartbeat to each chosen entry and take in the answers."""
+        """Send one heartbeat to each chosen entry and handle the replies."""
         heartbeat = self._describe()
-        # Only one entry is asked for work, so that offers do not add up.
-        quiet = msgspec.structs.replace(heartbeat, wants=0)
+        # Requests work from only one entry, so that offers do not add up.
+        without_wants = msgspec.structs.replace(heartbeat, wants=0)
         workers = {
             target: gevent.spawn(
-                self._beat_to,
+                self._send_to,
                 target,
-                quiet if rank else heartbeat,
+                without_wants if rank else heartbeat,
             )
             for rank, target in enumerate(self._choose_targets(heartbeat))
         }
@@ -110,33 +110,33 @@
             for target, worker in workers.items()
             if worker.value is not None
         }
-        self._learn(replies)
+        self._apply_replies(replies)
         self.has_beaten = True
         for reply in replies.values():
             self.on_reply(reply)
 
     def _run(self) -> None:
         self.beat()
-        gevent.sleep(LEAST_GAP_SECONDS)
-        self._sooner.wait(PERIOD_SECONDS - LEAST_GAP_SECONDS)
-        self._sooner.clear()
+        gevent.sleep(MIN_GAP_SECONDS)
+        self._send_now.wait(PERIOD_SECONDS - MIN_GAP_SECONDS)
+        self._send_now.clear()
 
     def _choose_targets(self, heartbeat: Heartbeat) -> list[str]:
-        known = set(self.neighbours.entries or self._find_more())
+        known = set(self.neighbours.entries or self._list_candidates())
         known.discard(heartbeat.address)
         return choose_subset(sorted(known), heartbeat.name, self._fan_out)
 
-    def _find_more(self) -> tuple[str, ...]:
-        """Look for entries where none that is known answers.
+    def _list_candidates(self) -> tuple[str, ...]:
+        """List candidates when no known entry answers.
 
-        The VM list does not tell an entry from other processes; those do
-        not take heartbeats.
+        The VM list does not distinguish entries from other processes; those
+        do not accept heartbeats.
         """
         listed = self._list_vms()
-        addresses = () if isinstance(listed, Err) else listed.ok_value
-        return (*self._seeds, *(vm.address for vm in addresses))
+        vms = () if isinstance(listed, Err) else listed.ok_value
+        return (*self._seeds, *(vm.address for vm in vms))
 
-    def _beat_to(
+    def _send_to(
         self,
         target: str,
         heartbeat: Heartbeat,
@@ -146,14 +146,14 @@
             'POST',
             HEARTBEAT_PATH,
             msgspec.json.encode(heartbeat),
-            patience=PATIENCE_SECONDS,
+            patience=TIMEOUT_SECONDS,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             log_event(Event.heartbeat_failed, entry=target)
             return None
         return called.ok_value.decode(HeartbeatReply)
 
-    def _learn(self, replies: dict[str, HeartbeatReply]) -> None:
+    def _apply_replies(self, replies: dict[str, HeartbeatReply]) -> None:
         entries = set(replies)
         for target, reply in replies.items():
             entries.update(reply.entries)
@@ -175,4 +175,4 @@
 
 
 def _ignore_reply(_reply: HeartbeatReply) -> None:
-    """Do nothing before a controller listens."""
+    """Ignore replies until a controller sets its handler."""
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -1,7 +1,8 @@
-"""What a process knows of requests under which upstreams have ended.
+"""Keeps the requests that are suspected of crashing upstreams.
 
-Every process holds all that it has heard, so that the news outlives the one
-that saw it.  Those that follow its log hear of each change in order.
+Every process stores every report that it receives, so that reports survive
+the process that observed a crash.  Followers of the log receive each change
+in order.
 """
 
 from __future__ import annotations
@@ -28,45 +29,45 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Set
 
-# At 150 bytes each; requests that were lost with an upstream are some eight an
-# end, and nearly all are cleared within a second.
-MOST_SUSPECTS = 4096
-# Words of before a request was cleared are on their way no longer than this.
+# At 150 bytes each.  About eight requests are lost with each crash, and nearly
+# all of them are cleared within a second.
+MAX_SUSPECTS = 4096
+# Reports sent before a request was cleared arrive within this time.
 CLEARED_SECONDS = 30.0
-# Delivery may make the age of a report too low by this much.
+# Delivery may make the age in a report too low by this much.
 ON_ITS_WAY_SECONDS = 0.5
 # A follower that lags further behind receives the whole state.
-MOST_CHANGES = 1024
-# At 4 ends of 150 bytes: 20 KB at most in a heartbeat, none on most days.
-MOST_SUMMARIZED = 32
+MAX_CHANGES = 1024
+# At 4 crashes of 150 bytes: 20 KB at most in a heartbeat, usually nothing.
+MAX_SUMMARIZED = 32
 
 
 class Suspicions:
     """Suspected requests by fingerprint."""
 
     def __init__(self) -> None:
-        """Suspect nobody."""
+        """Start without suspects."""
         self.suspects: dict[str, Suspect] = {}
-        # Wakes those that follow the log.
+        # Wakes the followers of the log.
         self.changed = Signal()
         self._cleared: dict[str, float] = {}
-        # Requests that the news being merged have shown to be the cause.
-        self._newly_refused: list[str] = []
-        self._log: deque[SuspicionNews] = deque(maxlen=MOST_CHANGES)
-        # Positions begin at 1, so that 0 is of who has read nothing.
-        self._told = 1
+        # Requests that the update being merged has confirmed as culprits.
+        self._new_culprits: list[str] = []
+        self._log: deque[SuspicionNews] = deque(maxlen=MAX_CHANGES)
+        # Positions begin at 1; a follower that has read nothing passes 0.
+        self._position = 1
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nobody is suspected, so that nothing is looked up."""
+        """Check whether there are no suspects, so that look-ups are skipped."""
         return not self.suspects
 
     def judge(self, fingerprint: str, versions: Set[str]) -> Standing:
-        """Judge a request.
+        """Decide how a request may be run.
 
         :param fingerprint: the request.
-        :param versions: of the software of the upstreams that could run it.
-        :returns: how it may be run.
+        :param versions: software versions of the upstreams that could run it.
+        :returns: its standing.
         """
         suspect = self.suspects.get(fingerprint)
         if suspect is not None and suspect.is_forgotten(time.monotonic()):
@@ -75,7 +76,7 @@
         return judge_request(suspect, versions)
 
     def is_refused(self, fingerprint: str) -> bool:
-        """Tell whether a request is not run any more.
+        """Check whether a request is refused.
 
         :param fingerprint: the request.
         :returns: true for a culprit.
@@ -84,10 +85,10 @@
         return suspect is not None and suspect.is_culprit
 
     def list_tried_versions(self, fingerprint: str) -> set[str]:
-        """List the versions on which a culprit is not to be tried again.
+        """List the versions on which a culprit must not be tried again.
 
         :param fingerprint: the request.
-        :returns: versions of upstreams' software, none for who is no culprit.
+        :returns: versions of upstreams' software, empty for any other request.
         """
         if not self.is_refused(fingerprint):
             return set()
@@ -102,31 +103,31 @@
         was_alone: bool,
         had_output: bool = False,
     ) -> SuspicionNews:
-        """Hold the end of an upstream against a request that was there.
+        """Record the crash of an upstream that was running a request.
 
         :param fingerprint: the request.
         :param upstream: start of the upstream.
         :param version: version of its software.
         :param was_alone: whether no other suspected request ran there.
         :param had_output: whether its run there had produced events.
-        :returns: what is to be told.
+        :returns: the update to publish.
         """
         end = EndNews(fingerprint, upstream, version, 0, was_alone, had_output)
         return self.merge(SuspicionNews(ends=(end,)))
 
     def clear(self, fingerprint: str) -> SuspicionNews:
-        """Hold nothing against a request any more.
+        """Remove a request from the suspects.
 
         :param fingerprint: the request.
-        :returns: what is to be told.
+        :returns: the update to publish.
         """
         return self.merge(SuspicionNews(cleared=(fingerprint,)))
 
     def note_repeat(self, fingerprint: str) -> SuspicionNews:
-        """Remember a refused request that came again.
+        """Record that a refused request was sent again.
 
         :param fingerprint: the request.
-        :returns: what is to be told, nothing where it was told lately.
+        :returns: the update to publish, empty if one was published recently.
         """
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
@@ -135,48 +136,52 @@
             return SuspicionNews()
         return self.merge(SuspicionNews(kept=(fingerprint,)))
 
-    def merge(self, told: SuspicionNews) -> SuspicionNews:
-        """Take in what another process tells.
+    def merge(self, update: SuspicionNews) -> SuspicionNews:
+        """Merge an update from another process.
 
-        :param told: the news.
-        :returns: the part of it that was not known.
+        :param update: the update.
+        :returns: the part of it that is new here.
         """
         now = time.monotonic()
-        self._newly_refused.clear()
-        ends = tuple(end for end in told.ends if self._take_end(end, now))
-        for condemned in told.condemned:
-            self._take_refusal(condemned)
+        self._new_culprits.clear()
+        ends = tuple(end for end in update.ends if self._add_crash(end, now))
+        for condemned in update.condemned:
+            self._accept_culprit(condemned)
         fresh = SuspicionNews(
             ends,
-            tuple(name for name in told.cleared if self._take_clear(name, now)),
-            tuple(name for name in told.kept if self._take_repeat(name, now)),
-            tuple(self._newly_refused),
+            tuple(
+                name for name in update.cleared if self._apply_clear(name, now)
+            ),
+            tuple(
+                name for name in update.kept if self._apply_repeat(name, now)
+            ),
+            tuple(self._new_culprits),
         )
         if fresh != SuspicionNews():
             self._log.append(fresh)
-            self._told += 1
+            self._position += 1
             self.changed.set()
             self.changed.clear()
         return fresh
 
-    def read_log(self, known: int) -> tuple[int, list[SuspicionNews]]:
-        """Read what changed since a follower read last.
+    def read_log(self, position: int) -> tuple[int, list[SuspicionNews]]:
+        """Read the changes since a position.
 
-        :param known: what this method returned then, 0 at first.
-        :returns: the position to go on from, and the changes in order.
+        :param position: position returned by the last call, 0 at first.
+        :returns: the position for the next call, and the changes in order; the
+            whole state where the log no longer reaches back that far.
         """
-        behind = self._told - known
-        if known and behind <= len(self._log):
-            changes = list(self._log)[len(self._log) - behind :]
+        lag = self._position - position
+        if position and lag <= len(self._log):
+            changes = list(self._log)[len(self._log) - lag :]
         else:
             changes = [] if self.is_empty else [self.describe()]
-        return self._told, changes
+        return self._position, changes
 
     def describe(self) -> SuspicionNews:
-        """Describe all that is known, for who may know nothing.
+        """Describe the whole state.
 
-        :returns: everything that is held against anybody, and who was cleared
-            of late.
+        :returns: all crashes of all suspects, and recently cleared requests.
         """
         return SuspicionNews(
             tuple(
@@ -189,10 +194,10 @@
         )
 
     def summarize(self) -> SuspicionNews:
-        """Describe what is worth telling again and again.
+        """Describe the part of the state that heartbeats repeat.
 
-        :returns: what is held against culprits, then against those that were
-            suspected last, and who was cleared of late.
+        :returns: crashes of culprits, then of the latest suspects, and
+            recently cleared requests.
         """
         ranked = sorted(
             self.suspects,
@@ -204,18 +209,18 @@
         return SuspicionNews(
             tuple(
                 end
-                for fingerprint in ranked[:MOST_SUMMARIZED]
+                for fingerprint in ranked[:MAX_SUMMARIZED]
                 for end in self.list_ends(fingerprint)
             ),
-            tuple(self._cleared)[-MOST_SUMMARIZED:],
-            condemned=tuple(filter(self.is_refused, ranked[:MOST_SUMMARIZED])),
+            tuple(self._cleared)[-MAX_SUMMARIZED:],
+            condemned=tuple(filter(self.is_refused, ranked[:MAX_SUMMARIZED])),
         )
 
     def list_ends(self, fingerprint: str) -> Iterator[EndNews]:
-        """List what is held against one request, as it is told.
+        """List the crashes of one request as messages.
 
         :param fingerprint: the request.
-        :yields: its ends.
+        :yields: its crashes.
         """
         now = time.monotonic()
         suspect = self.suspects.get(fingerprint, Suspect())
@@ -229,62 +234,62 @@
                 end.had_output,
             )
 
-    def _take_end(self, told: EndNews, now: float) -> bool:
-        at = now - told.age
-        cleared_at = self._cleared.get(told.fingerprint)
+    def _add_crash(self, report: EndNews, now: float) -> bool:
+        at = now - report.age
+        cleared_at = self._cleared.get(report.fingerprint)
         if cleared_at is not None and at <= cleared_at + ON_ITS_WAY_SECONDS:
             return False
-        if self._is_explained(told):
+        if self._is_explained(report):
             return False
-        suspect = self._get_suspect(told.fingerprint)
+        suspect = self._get_suspect(report.fingerprint)
         end = End(
-            told.upstream,
-            told.version,
+            report.upstream,
+            report.version,
             at,
-            told.was_alone,
-            told.had_output,
+            report.was_alone,
+            report.had_output,
         )
         if not suspect.add(end):
             return False
         log_event(
             Event.request_suspected,
-            fingerprint=told.fingerprint,
-            upstream=told.upstream,
-            was_alone=told.was_alone,
-            had_output=told.had_output,
+            fingerprint=report.fingerprint,
+            upstream=report.upstream,
+            was_alone=report.was_alone,
+            had_output=report.had_output,
             ends=len(suspect.ends),
         )
         if not suspect.is_culprit:
-            others = _count_others(
+            others = _count_unexplained(
                 self.suspects.values(),
                 suspect,
                 now,
             )
             if is_proved(suspect, others):
-                self._condemn(told.fingerprint)
+                self._confirm_culprit(report.fingerprint)
         return True
 
     def _get_suspect(self, fingerprint: str) -> Suspect:
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
-            while len(self.suspects) >= MOST_SUSPECTS:
-                self.suspects.pop(_choose_least(self.suspects))
+            while len(self.suspects) >= MAX_SUSPECTS:
+                self.suspects.pop(_choose_evicted(self.suspects))
             suspect = self.suspects.setdefault(fingerprint, Suspect())
         return suspect
 
-    def _is_explained(self, told: EndNews) -> bool:
-        """Tell whether another request is known to have caused an end."""
+    def _is_explained(self, report: EndNews) -> bool:
+        """Check whether a known culprit already explains a crash."""
         return any(
             suspect.is_culprit
-            and any(end.upstream == told.upstream for end in suspect.ends)
+            and any(end.upstream == report.upstream for end in suspect.ends)
             for fingerprint, suspect in self.suspects.items()
-            if fingerprint != told.fingerprint
+            if fingerprint != report.fingerprint
         )
 
-    def _condemn(self, culprit: str) -> None:
-        """Hold what a culprit has ended against nobody else."""
+    def _confirm_culprit(self, culprit: str) -> None:
+        """Mark a culprit, and drop its crashes from all other suspects."""
         self.suspects[culprit].is_culprit = True
-        self._newly_refused.append(culprit)
+        self._new_culprits.append(culprit)
         ends = self.suspects[culprit].ends
         log_event(
             Event.request_condemned,
@@ -292,23 +297,26 @@
             upstreams=[end.upstream for end in ends],
             alone=[end.upstream for end in ends if end.was_alone],
         )
-        caused = {end.upstream for end in ends}
+        explained = {end.upstream for end in ends}
         for fingerprint, suspect in list(self.suspects.items()):
             if suspect.is_culprit:
                 continue
             suspect.ends = [
-                end for end in suspect.ends if end.upstream not in caused
+                end for end in suspect.ends if end.upstream not in explained
             ]
             if not suspect.ends:
                 self.suspects.pop(fingerprint)
 
-    def _take_refusal(self, fingerprint: str) -> None:
-        """Take another process's word, which may have seen a calmer time."""
+    def _accept_culprit(self, fingerprint: str) -> None:
+        """Accept a culprit that another process has confirmed.
+
+        That process may have seen fewer unexplained crashes at the time.
+        """
         suspect = self.suspects.get(fingerprint)
         if suspect is not None and not suspect.is_culprit:
-            self._condemn(fingerprint)
+            self._confirm_culprit(fingerprint)
 
-    def _take_clear(self, fingerprint: str, now: float) -> bool:
+    def _apply_clear(self, fingerprint: str, now: float) -> bool:
         if self.suspects.pop(fingerprint, None) is None:
             return False
         self._cleared = {
@@ -320,7 +328,7 @@
         log_event(Event.request_cleared, fingerprint=fingerprint)
         return True
 
-    def _take_repeat(self, fingerprint: str, now: float) -> bool:
+    def _apply_repeat(self, fingerprint: str, now: float) -> bool:
         suspect = self.suspects.get(fingerprint)
         if suspect is None or now - suspect.kept_at < RENEW_SECONDS / 2:
             return False
@@ -328,12 +336,12 @@
         return True
 
 
-def _count_others(
+def _count_unexplained(
     suspects: Iterable[Suspect],
     suspect: Suspect,
     now: float,
 ) -> int:
-    """Count the ends of late that neither it nor a culprit explains."""
+    """Count recent crashes that neither the suspect nor a culprit explains."""
     explained = {end.upstream for end in suspect.ends}
     others = {
         end.upstream: end.at
@@ -348,6 +356,6 @@
     )
 
 
-def _choose_least(suspects: dict[str, Suspect]) -> str:
-    """Choose whom to forget: the oldest that is no culprit, if any is."""
+def _choose_evicted(suspects: dict[str, Suspect]) -> str:
+    """Choose the suspect to evict: the oldest one, culprits last."""
     return min(suspects, key=lambda name: suspects[name].is_culprit)
--- a/tests/membership/test_ends.py
+++ b/tests/membership/test_ends.py
@@ -1,4 +1,4 @@
-"""An upstream that ended is told from a connection that broke."""
+"""Detection of crashed upstreams after a broken connection."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     import pytest
 
 
-def test_an_address_that_refuses_has_ended() -> None:
-    finder = EndFinder(ConnectionPool())
-    assert finder.has_ended('vm-1', f'127.0.0.1:{take_port()}')
+def test_refused_connection_means_crash() -> None:
+    detector = EndFinder(ConnectionPool())
+    assert detector.has_ended('vm-1', f'127.0.0.1:{take_port()}')
 
 
-def test_an_upstream_that_listens_has_not_ended() -> None:
-    """The connection that found this out is kept for the next request."""
+def test_listening_upstream_has_not_crashed() -> None:
+    """The probe's connection is kept for the next request."""
     proxy = HarmingProxy('127.0.0.1:1')
     pool = ConnectionPool()
     assert not EndFinder(pool).has_ended('vm-1', proxy.address)
@@ -29,21 +29,23 @@
     proxy.stop()
 
 
-def test_many_that_ask_at_once_open_one_connection(
+def test_concurrent_probes_open_one_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     pool = ConnectionPool()
-    finder = EndFinder(pool)
+    detector = EndFinder(pool)
     address = f'127.0.0.1:{take_port()}'
-    asked = []
+    probes = []
     find = pool.find_listener
 
-    def count(*given):
-        asked.append(given)
-        return find(*given)
+    def count(*arguments):
+        probes.append(arguments)
+        return find(*arguments)
 
     monkeypatch.setattr(pool, 'find_listener', count)
-    found = [gevent.spawn(finder.has_ended, 'vm-1', address) for _ in range(9)]
-    gevent.joinall(found)
-    assert all(asking.value for asking in found)
-    assert len(asked) == 1
+    checks = [
+        gevent.spawn(detector.has_ended, 'vm-1', address) for _ in range(9)
+    ]
+    gevent.joinall(checks)
+    assert all(check.value for check in checks)
+    assert len(probes) == 1
