--- a/src/wigeonpier/disk/__init__.py
+++ b/src/wigeonpier/disk/__init__.py
@@ -1,1 +1,1 @@
-"""Bulk data under one data folder."""
+"""Bulk data in data folders."""
--- a/src/wigeonpier/disk/client.py
+++ b/src/wigeonpier/disk/client.py
@@ -1,4 +1,4 @@
-"""Calls to data folders of other processes."""
+"""Client for the data folders of other processes."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
     from wigeonpier.web.client import HttpCaller, Reply
 
-APPEND_SECONDS = 1.5
-READ_SECONDS = 10.0
-FAILING_SECONDS = 30.0
+APPEND_TIMEOUT_SECONDS = 1.5
+READ_TIMEOUT_SECONDS = 10.0
+AVOID_SECONDS = 30.0
 
 Name = tuple[str, int, int]
 
 
 class DiskFailure(StrEnum):
-    """Why a data folder did not do what it was asked for."""
+    """Why a call to a data folder failed."""
 
     fenced = 'fenced'
     absent = 'absent'
@@ -34,7 +34,7 @@
     unreachable = 'unreachable'
 
 
-_FAILINGS = frozenset(
+_FOLDER_FAILURES = frozenset(
     (
         DiskFailure.broken,
         DiskFailure.other_folder,
@@ -44,28 +44,28 @@
 
 
 class DiskClient:
-    """Reaches data folders by their incarnation."""
+    """Calls data folders by their incarnation."""
 
     def __init__(
         self,
         caller: HttpCaller,
         find_address: Callable[[str], str | None],
     ) -> None:
-        """Look addresses up anew at each call; VMs move."""
+        """Look up addresses at each call, since VMs move."""
         self._caller = caller
         self._find_address = find_address
-        self._failed: dict[str, float] = {}
+        self._failed_at: dict[str, float] = {}
 
     def list_failing(self) -> frozenset[str]:
-        """List folders that failed a call of late.
+        """List folders that recently failed a call.
 
-        :returns: incarnations, to be passed over where there are others.
+        :returns: incarnations, to be avoided where there are others.
         """
         now = time.monotonic()
         return frozenset(
             incarnation
-            for incarnation, failed in self._failed.items()
-            if now - failed < FAILING_SECONDS
+            for incarnation, failed_at in self._failed_at.items()
+            if now - failed_at < AVOID_SECONDS
         )
 
     def append(
@@ -75,13 +75,13 @@
         offset: int,
         lines: bytes,
     ) -> Result[int, DiskFailure]:
-        """Add lines to one copy of a segment; safe to repeat.
+        """Append lines to one copy of a segment; safe to repeat.
 
         :param incarnation: the folder.
         :param name: job, chunk and fencing number.
         :param offset: size of the segment before the append.
-        :param lines: whole lines.
-        :returns: size afterwards.
+        :param lines: complete lines.
+        :returns: size of the segment afterwards.
         """
         job, chunk, fence = name
         called = self._call(
@@ -90,7 +90,7 @@
             f'/disk/v1/segments/{job}/{chunk}/{fence}',
             lines,
             {routes.OFFSET: str(offset)},
-            APPEND_SECONDS,
+            APPEND_TIMEOUT_SECONDS,
         )
         return called.map(lambda reply: reply.decode(routes.Appended).size)
 
@@ -101,13 +101,13 @@
         chunk: int,
         fence: int,
     ) -> Result[list[int], DiskFailure]:
-        """Make a folder refuse older owners of a chunk.
+        """Make a folder refuse earlier owners of a chunk.
 
         :param incarnation: the folder.
         :param job: id of the job.
         :param chunk: index of the chunk.
         :param fence: fencing number of the new owner.
-        :returns: fencing numbers of the segments that are there.
+        :returns: fencing numbers of the segments in the folder.
         """
         called = self._call(
             incarnation,
@@ -115,7 +115,7 @@
             f'/disk/v1/fences/{job}/{chunk}/{fence}',
             b'',
             {},
-            APPEND_SECONDS,
+            APPEND_TIMEOUT_SECONDS,
         )
         return called.map(lambda reply: reply.decode(routes.Fenced).segments)
 
@@ -124,11 +124,11 @@
         incarnation: str,
         name: Name,
     ) -> Result[bytes, DiskFailure]:
-        """Read the sound part of one copy of a segment.
+        """Read the valid part of one copy of a segment.
 
         :param incarnation: the folder.
         :param name: job, chunk and fencing number.
-        :returns: whole lines.
+        :returns: complete lines.
         """
         job, chunk, fence = name
         path = f'/disk/v1/segments/{job}/{chunk}/{fence}'
@@ -141,7 +141,7 @@
         index: int,
         content: bytes,
     ) -> Result[int, DiskFailure]:
-        """Keep one page of a file; safe to repeat.
+        """Write one page of a file; safe to repeat.
 
         :param incarnation: the folder.
         :param file_id: id of the file.
@@ -155,7 +155,7 @@
             f'/disk/v1/pages/{file_id}/{index}',
             content,
             {},
-            READ_SECONDS,
+            READ_TIMEOUT_SECONDS,
         )
         return called.map(lambda reply: reply.decode(routes.Appended).size)
 
@@ -175,10 +175,10 @@
         return self._read(incarnation, f'/disk/v1/pages/{file_id}/{index}')
 
     def list_ages(self, address: str) -> list[routes.SegmentAge] | None:
-        """Ask how long segments have been silent.
+        """Read how long ago each segment was last appended to.
 
         :param address: ``host:port`` of the folder's process.
-        :returns: ages, ``None`` where it does not answer.
+        :returns: ages, ``None`` without an answer.
         """
         called = self._caller.call(
             address,
@@ -191,7 +191,7 @@
         return called.ok_value.decode(list[routes.SegmentAge])
 
     def remove(self, incarnation: str, path: str) -> None:
-        """Delete a file's pages or a job's journals; failures are left.
+        """Delete a file's pages or a job's journals; ignore failures.
 
         :param incarnation: the folder.
         :param path: path below ``/disk/v1/``.
@@ -202,7 +202,7 @@
             f'/disk/v1/{path}',
             b'',
             {},
-            READ_SECONDS,
+            READ_TIMEOUT_SECONDS,
         )
 
     def _read(
@@ -210,7 +210,9 @@
         incarnation: str,
         path: str,
     ) -> Result[bytes, DiskFailure]:
-        called = self._call(incarnation, 'GET', path, b'', {}, READ_SECONDS)
+        called = self._call(
+            incarnation, 'GET', path, b'', {}, READ_TIMEOUT_SECONDS
+        )
         return called.map(lambda reply: reply.body)
 
     def _call(
@@ -235,11 +237,11 @@
         )
         failure: DiskFailure | None = DiskFailure.unreachable
         if isinstance(called, Ok):
-            failure = _judge(called.ok_value)
+            failure = _classify(called.ok_value)
             if failure is None:
                 return Ok(called.ok_value)
-        if failure in _FAILINGS:
-            self._failed[incarnation] = time.monotonic()
+        if failure in _FOLDER_FAILURES:
+            self._failed_at[incarnation] = time.monotonic()
         return Err(failure or DiskFailure.unreachable)
 
 
@@ -249,8 +251,8 @@
 ) -> bytes | None:
     """Read from the first copy that answers.
 
-    :param copies: incarnations, any of which will do.
-    :param read: reads from one.
+    :param copies: incarnations, in the order in which they are tried.
+    :param read: reads from one copy.
     :returns: the bytes, ``None`` where no copy answers.
     """
     for incarnation in copies:
@@ -264,11 +266,11 @@
     copies: list[str],
     write: Callable[[str], Result[int, DiskFailure]],
 ) -> list[str]:
-    """Write to all copies at once.
+    """Write to all copies concurrently.
 
     :param copies: incarnations.
-    :param write: writes to one.
-    :returns: those that have it.
+    :param write: writes to one copy.
+    :returns: incarnations of the copies that were written.
     """
     workers = [gevent.spawn(write, incarnation) for incarnation in copies]
     gevent.joinall(workers)
@@ -279,7 +281,7 @@
     ]
 
 
-def _judge(reply: Reply) -> DiskFailure | None:
+def _classify(reply: Reply) -> DiskFailure | None:
     if reply.is_good:
         return None
     match reply.status:
--- a/src/wigeonpier/disk/folder.py
+++ b/src/wigeonpier/disk/folder.py
@@ -1,4 +1,4 @@
-"""A data folder: pages of files, and journals with fences."""
+"""Stores pages of files and fenced journals in a data folder."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from gevent.lock import BoundedSemaphore
 
-from wigeonpier.disk.lines import measure_sound_part
+from wigeonpier.disk.lines import measure_valid_prefix
 from wigeonpier.disk.storage import (
     append_lines,
     call_in_thread,
-    read_if_there,
+    read_if_exists,
     write_whole,
 )
 from wigeonpier.telemetry.events import Event
@@ -27,18 +27,18 @@
 
 INCARNATION_FILE = 'incarnation'
 FENCE_FILE = 'fence'
-FORGET_SECONDS = 60.0
+EVICT_SECONDS = 60.0
 PAGES = 'pages'
 SEGMENTS = 'segments'
 
 Chunk = tuple[str, int]
 SegmentName = tuple[str, int, int]
 Key = TypeVar('Key', Chunk, SegmentName)
-Kept = TypeVar('Kept')
+Cached = TypeVar('Kept')
 
 
 class StaleFenceError(Exception):
-    """An append with an older fencing number than the highest seen."""
+    """An append whose fencing number is lower than the highest one seen."""
 
 
 class WrongOffsetError(Exception):
@@ -48,7 +48,7 @@
     """
 
     def __init__(self, size: int) -> None:
-        """Keep the size."""
+        """Store the size."""
         super().__init__(f'the segment has {size} bytes')
         self.size = size
 
@@ -56,12 +56,12 @@
 class DataFolder:
     """Bulk data of one VM.
 
-    The incarnation tells this folder from an emptied, restored or replaced
-    one; every append names it.
+    The incarnation distinguishes this folder from an emptied, restored or
+    replaced one; every append names it.
     """
 
     def __init__(self, path: str, clock: Callable[[], float]) -> None:
-        """Open the folder; a new one gets an incarnation."""
+        """Open the folder, and give a new one an incarnation."""
         self._root = Path(path)
         self._clock = clock
         self._locks: defaultdict[Chunk, BoundedSemaphore] = defaultdict(
@@ -69,14 +69,14 @@
         )
         self._sizes: dict[SegmentName, int] = {}
         self._fences: dict[Chunk, int] = {}
-        self._touched: dict[SegmentName, float] = {}
+        self._appended_at: dict[SegmentName, float] = {}
         (self._root / PAGES).mkdir(parents=True, exist_ok=True)
         (self._root / SEGMENTS).mkdir(exist_ok=True)
         self.incarnation = self._read_incarnation()
         log_event(Event.disk_opened, incarnation=self.incarnation)
 
     def write_page(self, file_id: str, index: int, content: bytes) -> None:
-        """Keep one page of an uploaded file; the bytes are on disk after.
+        """Write one page of an uploaded file and force it to disk.
 
         :param file_id: id of the file.
         :param index: position of the page.
@@ -92,7 +92,7 @@
         :param index: position of the page.
         :returns: its bytes, ``None`` where this folder lacks it.
         """
-        return read_if_there(self._root / PAGES / file_id / str(index))
+        return read_if_exists(self._root / PAGES / file_id / str(index))
 
     def remove_file(self, file_id: str) -> None:
         """Delete all pages of a file.
@@ -108,22 +108,23 @@
         """
         shutil.rmtree(self._root / SEGMENTS / job, ignore_errors=True)
         self._sizes = _drop_job(self._sizes, job)
-        self._touched = _drop_job(self._touched, job)
+        self._appended_at = _drop_job(self._appended_at, job)
         self._fences = _drop_job(self._fences, job)
 
     def append(self, name: SegmentName, offset: int, lines: bytes) -> int:
-        """Add lines to a segment and force them to disk.
+        """Append lines to a segment and force them to disk.
 
-        The same append may come twice, when its answer was lost; the bytes
-        are then there already and are not added again.
+        The same append may arrive twice, if its answer was lost; the bytes
+        are then already present and are not appended again.
 
         :param name: job, chunk and fencing number.
         :param offset: size of the segment before the append.
-        :param lines: whole journal lines, none to show only that the owner
-            lives.
+        :param lines: complete journal lines, empty to show only that the
+            owner is alive.
         :returns: size of the segment afterwards.
-        :raises StaleFenceError: when a newer owner has fenced the chunk.
-        :raises WrongOffsetError: when bytes in between are missing.
+        :raises StaleFenceError: if a later owner has fenced the chunk.
+        :raises WrongOffsetError: if the segment is shorter than the offset,
+            or ends within the lines.
         """
         job, chunk, fence = name
         with self._locks[job, chunk]:
@@ -134,17 +135,17 @@
             if offset > size or offset < size < end:
                 raise WrongOffsetError(size)
             if end > size:
-                call_in_thread(append_lines, self._find_segment(name), lines)
+                call_in_thread(append_lines, self._segment_path(name), lines)
                 self._sizes[name] = end
-            self._touched[name] = self._clock()
+            self._appended_at[name] = self._clock()
             return max(size, end)
 
     def fence(self, chunk: Chunk, fence: int) -> list[int]:
-        """Refuse older owners of a chunk from now on, also after a restart.
+        """Refuse earlier owners of a chunk, also after a restart.
 
         :param chunk: job and index.
         :param fence: fencing number of the new owner.
-        :returns: fencing numbers of the segments that are here.
+        :returns: fencing numbers of the segments in this folder.
         """
         job, index = chunk
         folder = self._root / SEGMENTS / job / str(index)
@@ -161,41 +162,44 @@
         )
 
     def read_segment(self, name: SegmentName) -> bytes | None:
-        """Read the sound part of a segment.
+        """Read the valid part of a segment.
 
         :param name: job, chunk and fencing number.
-        :returns: whole lines, ``None`` where this folder lacks it.
+        :returns: complete lines, ``None`` where this folder lacks it.
         """
-        content = read_if_there(self._find_segment(name))
+        content = read_if_exists(self._segment_path(name))
         if content is None:
             return None
-        return content[: measure_sound_part(content)]
+        return content[: measure_valid_prefix(content)]
 
     def list_ages(self) -> dict[SegmentName, float]:
-        """Tell how long ago each segment was last appended to.
+        """List how long ago each recent segment was last appended to.
 
-        Segments that have been silent for long are forgotten here; what is
-        on disk tells all that is needed of them.
+        Cached state of segments without appends for ``EVICT_SECONDS`` is
+        evicted; it can be read again from disk.
 
-        :returns: seconds by segment that was appended to of late.
+        :returns: seconds, by segment.
         """
         now = self._clock()
-        for silent, touched in list(self._touched.items()):
-            if now - touched > FORGET_SECONDS:
-                self._forget(silent)
-        return {name: now - seen for name, seen in self._touched.items()}
-
-    def _forget(self, name: SegmentName) -> None:
+        for idle, appended_at in list(self._appended_at.items()):
+            if now - appended_at > EVICT_SECONDS:
+                self._evict(idle)
+        return {
+            name: now - last_append
+            for name, last_append in self._appended_at.items()
+        }
+
+    def _evict(self, name: SegmentName) -> None:
         job, chunk, _fence = name
         lock = self._locks[job, chunk]
         if lock.locked():
             return
-        self._touched.pop(name, None)
+        self._appended_at.pop(name, None)
         self._sizes.pop(name, None)
         self._fences.pop((job, chunk), None)
         self._locks.pop((job, chunk), None)
 
-    def _find_segment(self, name: SegmentName) -> Path:
+    def _segment_path(self, name: SegmentName) -> Path:
         job, chunk, fence = name
         return self._root / SEGMENTS / job / str(chunk) / str(fence)
 
@@ -203,42 +207,42 @@
         if chunk not in self._fences:
             job, index = chunk
             path = self._root / SEGMENTS / job / str(index) / FENCE_FILE
-            self._fences[chunk] = int(read_if_there(path) or b'0')
+            self._fences[chunk] = int(read_if_exists(path) or b'0')
         return self._fences[chunk]
 
     def _get_size(self, name: SegmentName) -> int:
         if name not in self._sizes:
-            self._sizes[name] = _repair_tail(self._find_segment(name))
+            self._sizes[name] = _repair_tail(self._segment_path(name))
         return self._sizes[name]
 
     def _read_incarnation(self) -> str:
         path = self._root / INCARNATION_FILE
-        kept = read_if_there(path)
-        if kept is None:
-            kept = secrets.token_hex(8).encode()
-            write_whole(path, kept)
-        return kept.decode()
+        stored = read_if_exists(path)
+        if stored is None:
+            stored = secrets.token_hex(8).encode()
+            write_whole(path, stored)
+        return stored.decode()
 
 
 def measure_time() -> float:
-    """Give the monotonic clock, seconds."""
+    """Read the monotonic clock, seconds."""
     return time.monotonic()
 
 
-def _drop_job(cache: dict[Key, Kept], job: str) -> dict[Key, Kept]:
-    return {key: kept for key, kept in cache.items() if key[0] != job}
+def _drop_job(cache: dict[Key, Cached], job: str) -> dict[Key, Cached]:
+    return {key: stored for key, stored in cache.items() if key[0] != job}
 
 
 def _repair_tail(path: Path) -> int:
-    content = read_if_there(path)
+    content = read_if_exists(path)
     if content is None:
         return 0
-    sound = measure_sound_part(content)
-    if sound < len(content):
-        os.truncate(path, sound)
+    valid_size = measure_valid_prefix(content)
+    if valid_size < len(content):
+        os.truncate(path, valid_size)
         log_event(
             Event.journal_repaired,
             path=path.name,
-            removed=len(content) - sound,
+            removed=len(content) - valid_size,
         )
-    return sound
+    return valid_size
--- a/src/wigeonpier/disk/routes.py
+++ b/src/wigeonpier/disk/routes.py
@@ -1,4 +1,4 @@
-"""Paths by which peers reach a data folder."""
+"""Serves a data folder to peers."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 FENCED_STATUS = 412
 OFFSET_STATUS = 416
 OTHER_FOLDER_STATUS = 410
-MOST_APPEND = 64_000_000
-_FILE = r'([0-9A-Za-z_\-]+)'
-_CHUNK = rf'{_FILE}/(\d+)'
+MAX_BODY_BYTES = 64_000_000
+_ID = r'([0-9A-Za-z_\-]+)'
+_CHUNK = rf'{_ID}/(\d+)'
 _SEGMENT = rf'{_CHUNK}/(\d+)'
 
 
 class Appended(msgspec.Struct):
     """Answer to an append.
 
-    :param size: bytes that the segment has.
+    :param size: size of the segment, bytes.
     """
 
     size: int
@@ -43,14 +43,14 @@
 class Fenced(msgspec.Struct):
     """Answer to a fence.
 
-    :param segments: fencing numbers of the segments that are here.
+    :param segments: fencing numbers of the segments in the folder.
     """
 
     segments: list[int]
 
 
 class SegmentAge(msgspec.Struct, array_like=True):
-    """How long a segment has been silent.
+    """Time since the last append to a segment.
 
     :param job: id of the job.
     :param chunk: index of the chunk.
@@ -65,7 +65,7 @@
 
 
 def make_disk_routes(folder: DataFolder) -> list[Route]:
-    """List the paths of a data folder.
+    """Make the routes of a data folder.
 
     :param folder: the folder.
     :returns: routes, all below ``/disk/``.
@@ -73,8 +73,8 @@
     paths = (
         ('PUT', f'/disk/v1/pages/{_CHUNK}', _write_page),
         ('GET', f'/disk/v1/pages/{_CHUNK}', _read_page),
-        ('DELETE', f'/disk/v1/files/{_FILE}', _remove_file),
-        ('DELETE', f'/disk/v1/jobs/{_FILE}', _remove_job),
+        ('DELETE', f'/disk/v1/files/{_ID}', _remove_file),
+        ('DELETE', f'/disk/v1/jobs/{_ID}', _remove_job),
         ('POST', f'/disk/v1/segments/{_SEGMENT}', _append),
         ('GET', f'/disk/v1/segments/{_SEGMENT}', _read_segment),
         ('POST', f'/disk/v1/fences/{_SEGMENT}', _fence),
@@ -92,13 +92,13 @@
     file_id: str,
     index: str,
 ) -> Response:
-    if not _is_meant(folder, request):
+    if not _is_addressed(folder, request):
         return _answer_other_folder(folder)
-    content = _read_bulk(request)
+    content = _read_large_body(request)
     try:
         folder.write_page(file_id, int(index), content)
     except OSError as error:
-        raise _refuse_write(error) from error
+        raise _make_write_refusal(error) from error
     return answer_json(Appended(len(content)))
 
 
@@ -133,10 +133,10 @@
     chunk: str,
     fence: str,
 ) -> Response:
-    if not _is_meant(folder, request):
+    if not _is_addressed(folder, request):
         return _answer_other_folder(folder)
     offset = int(request.headers.get(OFFSET, '0'))
-    lines = _read_bulk(request)
+    lines = _read_large_body(request)
     name = (job, int(chunk), int(fence))
     try:
         return answer_json(Appended(folder.append(name, offset, lines)))
@@ -146,7 +146,7 @@
     except WrongOffsetError as error:
         return answer_json(Appended(error.size), OFFSET_STATUS)
     except OSError as error:
-        raise _refuse_write(error) from error
+        raise _make_write_refusal(error) from error
 
 
 def _read_segment(
@@ -167,12 +167,12 @@
     chunk: str,
     fence: str,
 ) -> Response:
-    if not _is_meant(folder, request):
+    if not _is_addressed(folder, request):
         return _answer_other_folder(folder)
     try:
         segments = folder.fence((job, int(chunk)), int(fence))
     except OSError as error:
-        raise _refuse_write(error) from error
+        raise _make_write_refusal(error) from error
     return answer_json(Fenced(segments))
 
 
@@ -182,7 +182,7 @@
     )
 
 
-def _is_meant(folder: DataFolder, request: Request) -> bool:
+def _is_addressed(folder: DataFolder, request: Request) -> bool:
     return request.headers.get(INCARNATION) == folder.incarnation
 
 
@@ -191,16 +191,16 @@
     return answer_json(Appended(0), OTHER_FOLDER_STATUS)
 
 
-def _answer_bytes(content: bytes | None, what: str) -> Response:
+def _answer_bytes(content: bytes | None, missing: str) -> Response:
     if content is None:
-        raise Refusal(ErrorKind.not_found, f'this folder has no {what}')
+        raise Refusal(ErrorKind.not_found, f'this folder has no {missing}')
     return Response(HTTPStatus.OK, content, RAW_TYPE)
 
 
-def _read_bulk(request: Request) -> bytes:
-    request.body_limit = MOST_APPEND
+def _read_large_body(request: Request) -> bytes:
+    request.body_limit = MAX_BODY_BYTES
     return request.read_body()
 
 
-def _refuse_write(error: OSError) -> Refusal:
+def _make_write_refusal(error: OSError) -> Refusal:
     return Refusal(ErrorKind.storage_down, f'cannot write: {error.strerror}')
--- a/src/wigeonpier/disk/storage.py
+++ b/src/wigeonpier/disk/storage.py
@@ -1,4 +1,4 @@
-"""Forced writes to files; what returned is on disk."""
+"""Durable writes to files: data is on disk when a call returns."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 NAME_BYTES = 4
 
 
-def call_in_thread(function: Callable[..., None], *details: object) -> None:
-    """Do a forced write in a thread; the loop serves others meanwhile.
+def call_in_thread(function: Callable[..., None], *arguments: object) -> None:
+    """Run a forced write in a thread, so that it does not block the loop.
 
     :param function: does the write.
-    :param details: its arguments.
+    :param arguments: its arguments.
     """
-    gevent.get_hub().threadpool.apply(function, details)
+    gevent.get_hub().threadpool.apply(function, arguments)
 
 
-def read_if_there(path: Path) -> bytes | None:
+def read_if_exists(path: Path) -> bytes | None:
     """Read a file.
 
     :param path: the file.
@@ -39,21 +39,21 @@
 
 
 def append_lines(path: Path, lines: bytes) -> None:
-    """Add bytes to a file and force them to disk.
+    """Append bytes to a file and force them to disk.
 
-    :param path: the file; made with its folders where it is new.
-    :param lines: what is added.
-    :raises OSError: when the disk is full or broken; the file is then as
-        it was.
+    :param path: the file; created with its folders if it is missing.
+    :param lines: bytes to append.
+    :raises OSError: if the disk is full or broken; the file is then left
+        unchanged.
     """
     is_new = not path.exists()
     path.parent.mkdir(parents=True, exist_ok=True)
     with path.open('ab', buffering=0) as stream:
         size = stream.tell()
         try:
-            _force(stream.fileno(), lines)
+            _write_and_sync(stream.fileno(), lines)
         except OSError:
-            # A full disk may have taken a part; it must not stay in between.
+            # Removes the part that was written before the disk was full.
             with suppress(OSError):
                 os.ftruncate(stream.fileno(), size)
             raise
@@ -62,28 +62,28 @@
 
 
 def write_whole(path: Path, content: bytes) -> None:
-    """Replace a file in one step and force it to disk.
+    """Replace a file atomically and force it to disk.
 
-    :param path: the file; made with its folders where it is new.
+    :param path: the file; created with its folders if it is missing.
     :param content: its new bytes.
     """
     path.parent.mkdir(parents=True, exist_ok=True)
     suffix = secrets.token_hex(NAME_BYTES)
-    fresh = path.with_name(f'{path.name}.{suffix}.new')
+    temporary = path.with_name(f'{path.name}.{suffix}.new')
     with ExitStack() as stack:
-        # What a full disk took of it must not stay there.
-        stack.callback(fresh.unlink, missing_ok=True)
-        with fresh.open('xb', buffering=0) as stream:
-            _force(stream.fileno(), content)
-        fresh.replace(path)
+        # Removes the part that was written before the disk was full.
+        stack.callback(temporary.unlink, missing_ok=True)
+        with temporary.open('xb', buffering=0) as stream:
+            _write_and_sync(stream.fileno(), content)
+        temporary.replace(path)
     _sync_folder(path.parent)
 
 
-def _force(descriptor: int, content: bytes) -> None:
-    rest = memoryview(content)
-    while rest:
-        written = os.write(descriptor, rest)
-        rest = rest[written:]
+def _write_and_sync(descriptor: int, content: bytes) -> None:
+    remaining = memoryview(content)
+    while remaining:
+        written = os.write(descriptor, remaining)
+        remaining = remaining[written:]
     os.fsync(descriptor)
 
 
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -1,4 +1,4 @@
-"""An entry's view of the fleet."""
+"""Fleet state of an entry."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests set."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -39,8 +39,8 @@
     return Directory(clock, lambda _name: 'r')
 
 
-def _beat(name: str, disk: str = '', **changes) -> Heartbeat:
-    parts = {
+def _make_heartbeat(name: str, disk: str = '', **changes) -> Heartbeat:
+    fields = {
         'name': name,
         'boot': 'b',
         'role': Role.entry,
@@ -50,27 +50,27 @@
         'version': 1,
     }
     if disk:
-        parts['disk'] = DiskReport(disk, f'{name}:1', 'a', 1 << 40)
-    return Heartbeat(**(parts | changes))
+        fields['disk'] = DiskReport(disk, f'{name}:1', 'a', 1 << 40)
+    return Heartbeat(**(fields | changes))
 
 
-def _upstream(name: str, **changes) -> Heartbeat:
+def _make_upstream_heartbeat(name: str, **changes) -> Heartbeat:
     report = UpstreamReport('s', ('m',), 8, 0, 0, is_well=True)
-    return _beat(name, role=Role.local, upstream=report, **changes)
+    return _make_heartbeat(name, role=Role.local, upstream=report, **changes)
 
 
-def test_a_replaced_folder_is_gone_at_once(directory) -> None:
-    directory.note_heartbeat(_beat('vm-1', 'old'))
+def test_replaced_folder_is_gone_at_once(directory) -> None:
+    directory.note_heartbeat(_make_heartbeat('vm-1', 'old'))
     assert directory.list_gone() == ()
-    directory.note_heartbeat(_beat('vm-1', 'new'))
+    directory.note_heartbeat(_make_heartbeat('vm-1', 'new'))
     assert directory.list_gone() == ('old',)
 
 
-def test_a_silent_folder_is_gone_once_its_vm_is_off_the_list(
+def test_silent_folder_is_gone_once_its_vm_is_unlisted(
     directory,
     clock,
 ) -> None:
-    directory.note_heartbeat(_beat('vm-1', 'old'))
+    directory.note_heartbeat(_make_heartbeat('vm-1', 'old'))
     directory.note_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
     clock.now += GONE_SECONDS + 1
     assert directory.list_gone() == ()
@@ -78,44 +78,44 @@
     assert directory.list_gone() == ('old',)
 
 
-def test_an_entry_that_started_later_is_told_what_is_gone(directory) -> None:
+def test_gone_folders_of_peers_are_listed_unless_live(directory) -> None:
     directory.note_gone(('old', 'there'))
-    directory.note_heartbeat(_beat('vm-1', 'there'))
+    directory.note_heartbeat(_make_heartbeat('vm-1', 'there'))
     assert directory.list_gone() == ('old',)
 
 
-def test_silent_upstreams_are_not_routed_to_while_others_are_heard(
+def test_silent_upstreams_are_skipped_while_others_are_live(
     directory,
     clock,
 ) -> None:
-    directory.note_heartbeat(_upstream('vm-1'))
+    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
     clock.now += SILENT_SECONDS + 1
-    directory.note_heartbeat(_upstream('vm-2'))
+    directory.note_heartbeat(_make_upstream_heartbeat('vm-2'))
     names = [state.name for state in directory.list_upstreams()]
     assert names == ['vm-2']
 
 
-def test_an_entry_that_hears_nobody_tries_whom_it_knew(
+def test_all_known_upstreams_are_listed_if_all_are_silent(
     directory,
     clock,
 ) -> None:
-    directory.note_heartbeat(_upstream('vm-1'))
+    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
     directory.note_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
     clock.now += FORGET_SECONDS + 1
     assert [state.name for state in directory.list_upstreams()] == ['vm-1']
 
 
-def test_a_restarted_process_starts_with_a_clean_record(directory) -> None:
-    directory.note_heartbeat(_upstream('vm-1'))
+def test_restart_resets_routing_state(directory) -> None:
+    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
     directory.upstreams['vm-1'].ejections = 4
-    directory.note_heartbeat(_upstream('vm-1', boot='again'))
+    directory.note_heartbeat(_make_upstream_heartbeat('vm-1', boot='again'))
     assert directory.upstreams['vm-1'].ejections == 0
 
 
-def test_a_drained_vm_stays_so_whatever_it_says(directory) -> None:
-    directory.note_heartbeat(_upstream('vm-1'))
+def test_drained_vm_stays_leaving_despite_heartbeats(directory) -> None:
+    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
     directory.mark_leaving('vm-1')
-    directory.note_heartbeat(_upstream('vm-1'))
+    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
     assert directory.upstreams['vm-1'].is_leaving
     directory.unmark_leaving('vm-1')
     assert not directory.upstreams['vm-1'].is_leaving
