--- a/src/wigeonpier/disk/folder.py
+++ b/src/wigeonpier/disk/folder.py
@@ -34,7 +34,7 @@
 Chunk = tuple[str, int]
 SegmentName = tuple[str, int, int]
 Key = TypeVar('Key', Chunk, SegmentName)
-Cached = TypeVar('Kept')
+Cached = TypeVar('Cached')
 
 
 class StaleFenceError(Exception):
--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -1,4 +1,4 @@
-"""The upstreams that may be routed to, followed by a watch."""
+"""Maintains the upstreams that may be routed to, from a watch."""
 
 from __future__ import annotations
 
@@ -37,16 +37,17 @@
     from wigeonpier.platform.view import ViewFactory
 
 # Upstreams of one service that an entry routes to.  Each is a connection that
-# tells its load ten times a second, some 80 us of processor a time: 3.5 % of a
-# core are spent on about 44.  Two drawn of so many are as good as of all.
-MOST_UPSTREAMS = 40
-# Ids of which the last start is remembered when they are gone, for entries of
-# an earlier one that come late; far more than start in a day.
-MOST_REMEMBERED = 4096
+# reports its load ten times a second, at 80 us of processor time a report:
+# about 44 connections take 3.5 % of a core.  Choosing between two random ones
+# of so many is as good as choosing between two of all.
+MAX_UPSTREAMS = 40
+# Ids whose last start is remembered after they are gone, to reject late entries
+# of earlier starts; far more than start in a day.
+MAX_REMEMBERED_STARTS = 4096
 
 
 class ReplicaRegister:
-    """Keeps the state of each upstream that the register shows."""
+    """Maintains the state of each upstream in the register."""
 
     def __init__(
         self,
@@ -57,60 +58,61 @@
     ) -> None:
         """Watch the register once started."""
         self.upstreams: dict[str, UpstreamState] = {}
-        # Called with an upstream whose next start is known.
+        # Called with an upstream once a later start of it is known.
         self.on_replaced: Callable[[UpstreamState], object] = _ignore_upstream
         self.view = make_view(REGISTER, self._apply)
-        self._created: dict[str, int] = {}
-        self._incarnations: dict[str, int] = {}
-        self._near: list[UpstreamState] | None = None
+        self._created_revisions: dict[str, int] = {}
+        self._last_incarnations: dict[str, int] = {}
+        self._routed: list[UpstreamState] | None = None
         self._replaced_at = -math.inf
         self._settings = settings
         self._contact = contact
-        self._forget = forget
+        self._forget_address = forget
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start to watch."""
         self.view.start()
 
     def list_upstreams(self) -> list[UpstreamState]:
         """List the upstreams that this entry routes to.
 
-        :returns: their states, changed in place by who routes; a part of
-            each service's that differs from entry to entry where it has many.
+        :returns: their states, changed in place by routing.  Of a service with
+            many upstreams each entry gets a different subset.
         """
-        if self._near is None:
-            self._near = self._choose_near()
-        return self._near
+        if self._routed is None:
+            self._routed = self._choose_routed()
+        return self._routed
 
     def note_replaced(self, state: UpstreamState, instance: str) -> None:
         """Record that another instance answered at the address of an upstream.
 
-        :param state: receives nothing until its entry changes.
-        :param instance: id of the instance that answered; it is routed to
-            where the register lists it, even by an older entry.
+        :param state: the upstream; no requests are routed to it until its
+            entry changes.
+        :param instance: id of the instance that answered; requests are routed
+            to it if the register lists it, even by an older entry.
         """
-        # Asks whether the upstream was leaving before.
+        # The callback reads ``is_leaving``, so that it runs before the change.
         self.on_replaced(state)
         state.is_leaving = True
         self._replaced_at = time.monotonic()
         entry = self.view.entries.get(name_replica(instance))
         if entry is not None and self.upstreams.get(state.name) is state:
-            self._uncover(entry, state)
+            self._restore_hidden(entry, state)
 
     def note_end(self, start: str) -> None:
-        """Note that an upstream has ended.
+        """Record that an upstream has crashed.
 
-        :param start: its start, which another process may have seen end.
+        :param start: its start; another process may have observed the crash.
         """
         for state in self.upstreams.values():
             if state.start == start:
                 note_end(state, time.monotonic())
 
     def is_any_ended(self, service: str) -> bool:
-        """Tell whether an upstream of a service is about to be back.
+        """Check whether an upstream of a service will soon be back.
 
         :param service: name of the service.
-        :returns: true where one has ended some seconds ago.
+        :returns: true if one crashed some seconds ago.
         """
         now = time.monotonic()
         return any(
@@ -121,10 +123,10 @@
 
     @property
     def is_outdated(self) -> bool:
-        """Tell whether upstreams are there that the register lacks."""
+        """Check whether there may be upstreams that the register lacks."""
         return is_picture_old(time.monotonic() - self._replaced_at)
 
-    def _choose_near(self) -> list[UpstreamState]:
+    def _choose_routed(self) -> list[UpstreamState]:
         by_service: defaultdict[str, list[str]] = defaultdict(list)
         for state in self.upstreams.values():
             if not state.is_leaving:
@@ -132,16 +134,14 @@
         return [
             self.upstreams[name]
             for names in by_service.values()
-            for name in choose_subset(
-                names, self._settings.name, MOST_UPSTREAMS
-            )
+            for name in choose_subset(names, self._settings.name, MAX_UPSTREAMS)
         ]
 
     def _apply(self, change: Change) -> None:
-        self._near = None
+        self._routed = None
         name = change.key.removeprefix(REGISTER)
         if change.value is None:
-            self._remove_when_due(name, change.key)
+            self._remove_after_grace(name, change.key)
             return
         try:
             replica = decode_replica(change.key, change.value)
@@ -152,12 +152,12 @@
                 revision=change.revision,
                 problem=str(error),
             )
-            # Whatever the key named before, it names no replica now.
+            # The key no longer names a replica, whatever it named before.
             self._remove(name)
             return
-        self._put(replica, change)
+        self._apply_replica(replica, change)
 
-    def _put(self, replica: Replica, change: Change) -> None:
+    def _apply_replica(self, replica: Replica, change: Change) -> None:
         if is_earlier(replica.incarnation, self._get_last_start(replica.name)):
             log_event(
                 Event.upstream_outdated,
@@ -172,7 +172,7 @@
             self._remove(replica.name)
             state = None
         if state is None:
-            if self._is_outlived(replica, change):
+            if self._is_superseded(replica, change):
                 return
             state = self._add(replica, change.revision)
         if replica.is_leaving and not state.is_leaving:
@@ -182,10 +182,10 @@
         state.is_leaving = replica.is_leaving
 
     def _get_last_start(self, name: str) -> int:
-        """Tell the last start that the register or a load told of."""
+        """Return the last start in the register or in a load report."""
         state = self.upstreams.get(name)
-        told = state.incarnation if state else 0
-        return max(told, self._incarnations.get(name, 0))
+        reported = state.incarnation if state else 0
+        return max(reported, self._last_incarnations.get(name, 0))
 
     def _add(self, replica: Replica, revision: int) -> UpstreamState:
         state = UpstreamState(
@@ -199,78 +199,79 @@
             version=replica.version,
         )
         self.upstreams[replica.name] = state
-        self._remember(replica)
+        self._remember_start(replica)
         self._log(Event.upstream_added, state, revision)
         return state
 
-    def _remember(self, replica: Replica) -> None:
+    def _remember_start(self, replica: Replica) -> None:
         if replica.incarnation:
-            self._incarnations.pop(replica.name, None)
-            self._incarnations[replica.name] = replica.incarnation
-            while len(self._incarnations) > MOST_REMEMBERED:
-                self._incarnations.pop(next(iter(self._incarnations)))
+            self._last_incarnations.pop(replica.name, None)
+            self._last_incarnations[replica.name] = replica.incarnation
+            while len(self._last_incarnations) > MAX_REMEMBERED_STARTS:
+                self._last_incarnations.pop(next(iter(self._last_incarnations)))
 
-    def _is_outlived(self, replica: Replica, change: Change) -> bool:
-        """Leave one instance an address; entries come in any order.
+    def _is_superseded(self, replica: Replica, change: Change) -> bool:
+        """Check for a later instance at the address, and remove earlier ones.
 
-        The entry of a replica that crashed stays for some heartbeats beside
-        that of its next start, which was created later.
+        Entries arrive in any order.  The entry of a replica that crashed
+        exists for some heartbeats beside that of its next start, which was
+        created later.
         """
         for other in list(self.upstreams.values()):
             if other.address != replica.address:
                 continue
             if comes_after(
-                (other.incarnation, self._created.get(other.name, 0)),
+                (other.incarnation, self._created_revisions.get(other.name, 0)),
                 (replica.incarnation, change.created),
             ):
                 return True
             self.on_replaced(other)
             self._remove(other.name)
-        self._created[replica.name] = change.created
+        self._created_revisions[replica.name] = change.created
         return False
 
-    def _remove_when_due(self, name: str, key: str) -> None:
+    def _remove_after_grace(self, name: str, key: str) -> None:
         since = time.monotonic() - self._contact.regained_at
-        left = self._contact.plan.keep - since
-        if left > 0:
-            gevent.spawn_later(left, self._recheck, name, key)
+        remaining = self._contact.plan.keep - since
+        if remaining > 0:
+            gevent.spawn_later(remaining, self._remove_if_absent, name, key)
         else:
-            self._remove_lapsed(name)
+            self._remove_expired(name)
 
-    def _recheck(self, name: str, key: str) -> None:
+    def _remove_if_absent(self, name: str, key: str) -> None:
         if key not in self.view.entries:
-            self._remove_lapsed(name)
+            self._remove_expired(name)
 
-    def _remove_lapsed(self, name: str) -> None:
-        """Remove an upstream, and route to another listed at its address."""
+    def _remove_expired(self, name: str) -> None:
+        """Remove an upstream, and route to another one at its address."""
         state = self.upstreams.get(name)
         self._remove(name)
         if state is not None:
             for entry in list(self.view.entries.values()):
-                self._uncover(entry, state)
+                self._restore_hidden(entry, state)
 
-    def _uncover(self, entry: Entry, hidden_by: UpstreamState) -> None:
-        """Route to an entry that a later one at its address had replaced."""
+    def _restore_hidden(self, entry: Entry, hidden_by: UpstreamState) -> None:
+        """Route to an entry that was hidden by a later one at its address."""
         try:
             replica = decode_replica(entry.key, entry.value)
         except ForeignEntryError:
-            # It was logged when it was first seen.
+            # Was logged when the entry was first read.
             return
         is_hidden = replica.name not in self.upstreams
         if is_hidden and replica.address == hidden_by.address:
             self._remove(hidden_by.name)
-            self._put(
+            self._apply_replica(
                 replica,
                 Change(entry.key, entry.value, entry.revision, entry.created),
             )
 
     def _remove(self, name: str) -> None:
-        self._near = None
-        self._created.pop(name, None)
+        self._routed = None
+        self._created_revisions.pop(name, None)
         state = self.upstreams.pop(name, None)
         if state is not None:
             state.is_leaving = True
-            self._forget(state.address)
+            self._forget_address(state.address)
             self._log(Event.upstream_removed, state, 0)
 
     def _log(self, event: Event, state: UpstreamState, revision: int) -> None:
@@ -286,14 +287,13 @@
 
 
 def _ignore_upstream(_state: UpstreamState) -> None:
-    """Leave it to who has something to learn of it."""
+    """Ignore the upstream until a callback is set."""
 
 
 def _is_another_start(state: UpstreamState, replica: Replica) -> bool:
-    """Tell whether an entry is of a start that is not the one known.
+    """Check whether an entry belongs to another start than the known one.
 
-    What was learnt of the start before, its failures, its load and its
-    connections, says nothing of it.
+    Failures, load and connections of the earlier start don't apply to it.
     """
     return (state.incarnation, state.address, state.service) != (
         replica.incarnation,
--- a/src/wigeonpier/hosted/upstream.py
+++ b/src/wigeonpier/hosted/upstream.py
@@ -1,4 +1,4 @@
-"""What a process knows of the upstream on its own VM."""
+"""Follows the upstream on the VM of this process."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
     from wigeonpier.platform.store import KeyValueStore
     from wigeonpier.web.pool import ConnectionPool
 
-REPORT_SECONDS = 0.4
-# The register is read until the upstream stands in it.
-SEARCH_SECONDS = 1.2
-FAILURES_TO_DISTRUST = 3
-# An entry that names another start is tried again after these pauses, since
-# the refusal may have been the upstream's error.
-STALE_SECONDS = 2.0
-LONGEST_STALE_SECONDS = 30.0
+REPORT_TIMEOUT_SECONDS = 0.4
+# Interval at which the register is read until it lists the upstream.
+SEARCH_INTERVAL_SECONDS = 1.2
+MAX_FAILED_POLLS = 3
+# An entry that names another start is used again after these pauses, since the
+# refusal may have been the upstream's error.
+STALE_PAUSE_SECONDS = 2.0
+MAX_STALE_PAUSE_SECONDS = 30.0
 
 
 @dataclass(slots=True)
 class StaleEntries:
-    """Entries whose replica is not the one that answers at their address.
+    """Entries at whose address another instance answered.
 
     :param backoffs: pauses before an entry is used again, by start.
     """
@@ -43,14 +43,14 @@
     backoffs: dict[str, Backoff] = field(default_factory=dict)
 
     def add(self, found: Replica) -> None:
-        """Record that another instance answered for an entry.
+        """Record that another instance answered at an entry's address.
 
         :param found: the entry.
         """
         start = name_start(found.name, found.incarnation)
         backoff = self.backoffs.setdefault(
             start,
-            Backoff(STALE_SECONDS, LONGEST_STALE_SECONDS),
+            Backoff(STALE_PAUSE_SECONDS, MAX_STALE_PAUSE_SECONDS),
         )
         backoff.record_refusal(time.monotonic())
 
@@ -64,16 +64,16 @@
         return backoff is None or not backoff.is_paused(time.monotonic())
 
     def keep_only(self, starts: set[str]) -> None:
-        """Drop what is recorded of entries that are gone.
+        """Drop the records of removed entries.
 
-        :param starts: starts that the register shows.
+        :param starts: starts that the register lists.
         """
         for start in set(self.backoffs) - starts:
             self.backoffs.pop(start)
 
 
 class OwnUpstream:
-    """Follows the upstream on this VM: its entry and its load."""
+    """Follows the register entry and the load of the upstream on this VM."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         pool: ConnectionPool,
         address: str,
     ) -> None:
-        """Know nothing yet of the upstream at ``host:port``."""
+        """Prepare to follow the upstream at ``host:port``."""
         self.address = address
         self.replica: Replica | None = None
         self.report: UpstreamReport | None = None
@@ -90,78 +90,79 @@
         self._pool = pool
         self._failures = 0
         self._stale = StaleEntries()
-        self._watching: gevent.Greenlet[..., None] | None = None
-        # Entries that name no replica, by key: each revision is logged once.
+        self._watcher: gevent.Greenlet[..., None] | None = None
+        # Revisions of unreadable entries by key; each revision is logged once.
         self._unreadable: dict[str, int] = {}
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether it takes new work."""
+        """Check whether the upstream accepts new work."""
         if self.replica is None or self.report is None:
             return False
         if self.report.is_leaving:
             return False
-        # The entry of the start before says nothing of the one that reports.
+        # A leaving entry of an earlier start does not apply to the one that
+        # reports.
         return not self.replica.is_leaving or is_earlier(
             self.replica.incarnation,
             self.report.incarnation,
         )
 
     def follow(self) -> None:
-        """Find the upstream's entry and follow it until it is gone."""
+        """Find the upstream's entry and follow it until it is removed."""
         if self.report is None:
-            # Whoever does not answer is not in the register either, and
-            # asking the store is priced while asking beside us is not.
+            # An upstream that does not answer is not in the register either,
+            # and calls to the store are charged, unlike calls on this VM.
             self.look()
         if self.report is None:
-            gevent.sleep(SEARCH_SECONDS)
+            gevent.sleep(SEARCH_INTERVAL_SECONDS)
             return
         listed = self._store.list_prefix(register.REGISTER)
         if isinstance(listed, Err):
-            gevent.sleep(SEARCH_SECONDS)
+            gevent.sleep(SEARCH_INTERVAL_SECONDS)
             return
-        found = self._find(listed.ok_value)
+        found = self._find_replica(listed.ok_value)
         if found is None:
-            self._lose('not in the register')
-            gevent.sleep(SEARCH_SECONDS)
+            self._drop('not in the register')
+            gevent.sleep(SEARCH_INTERVAL_SECONDS)
             return
-        self._take(found)
-        self._watching = gevent.spawn(
+        self._apply_entry(found)
+        self._watcher = gevent.spawn(
             self._watch,
             found.name,
             listed.ok_value.revision,
         )
-        self._watching.get()
+        self._watcher.get()
 
     def note_replaced(self, known: Replica) -> None:
-        """Stop using an entry since another instance answers at its address.
+        """Stop using an entry because another instance answers at its address.
 
-        The register is read again at once; that the entry goes away by itself
-        would have to be waited for, and it may never do so.
+        The register is read again at once, since the entry may never be
+        removed.
 
-        :param known: the entry that the refused request was sent by.
+        :param known: the entry that the refused request was sent to.
         """
         if self.replica is None or self.replica.name != known.name:
             return
         self._stale.add(known)
-        self._lose('another instance answers')
-        if self._watching is not None:
-            self._watching.kill(block=False)
+        self._drop('another instance answers')
+        if self._watcher is not None:
+            self._watcher.kill(block=False)
 
     def look(self) -> None:
-        """Ask the upstream for its load; free of cost on the same VM."""
+        """Poll the load of the upstream; calls on the same VM are free."""
         self.looked_at = time.monotonic()
         headers = [('Host', self.address)]
         raw = make_request('GET', ingress.REPORT_PATH, headers)
-        called = self._pool.call(self.address, raw, REPORT_SECONDS)
+        called = self._pool.call(self.address, raw, REPORT_TIMEOUT_SECONDS)
         if isinstance(called, Err) or not called.ok_value.is_good:
             self._failures += 1
-            if self._failures >= FAILURES_TO_DISTRUST:
+            if self._failures >= MAX_FAILED_POLLS:
                 self.report = None
             return
         self._failures = 0
         try:
-            told = register.decode_report(called.ok_value.body)
+            received = register.decode_report(called.ok_value.body)
         except msgspec.DecodeError as error:
             log_event(
                 Event.upstream_unreadable,
@@ -170,23 +171,23 @@
             )
             return
         known = self.report.incarnation if self.report else 0
-        # Reports lag: one of the start before may come after one of this.
-        if not is_earlier(told.incarnation, known):
-            self.report = told
+        # A late report of an earlier start may arrive after one of this start.
+        if not is_earlier(received.incarnation, known):
+            self.report = received
 
-    def _find(self, snapshot: Snapshot) -> Replica | None:
-        """Find the last start at the address; older entries may linger."""
+    def _find_replica(self, snapshot: Snapshot) -> Replica | None:
+        """Find the last start at the address; older entries may still exist."""
         latest = sorted(snapshot.entries, key=lambda entry: -entry.created)
-        here = [
+        at_address = [
             found
             for entry in latest
             if (found := self._decode(entry.key, entry.value, entry.revision))
             and found.address == self.address
         ]
         self._stale.keep_only(
-            {name_start(found.name, found.incarnation) for found in here},
+            {name_start(found.name, found.incarnation) for found in at_address},
         )
-        usable = [found for found in here if self._stale.is_usable(found)]
+        usable = [found for found in at_address if self._stale.is_usable(found)]
         return max(usable, key=lambda found: found.incarnation, default=None)
 
     def _watch(self, name: str, revision: int) -> None:
@@ -195,18 +196,18 @@
             if change.key != key:
                 continue
             if change.value is None:
-                self._lose('its entry is gone')
+                self._drop('its entry is gone')
                 return
             found = self._decode(change.key, change.value, change.revision)
             if found is None:
-                self._lose('its entry names no replica')
+                self._drop('its entry names no replica')
             elif found.address == self.address:
-                self._take(found)
+                self._apply_entry(found)
             else:
-                self._lose('it is elsewhere now')
+                self._drop('it is elsewhere now')
                 return
 
-    def _take(self, found: Replica) -> None:
+    def _apply_entry(self, found: Replica) -> None:
         known = self.replica
         if known and is_earlier(found.incarnation, known.incarnation):
             log_event(
@@ -227,7 +228,7 @@
             log_event(Event.upstream_leaving, upstream=found.name)
         self.replica = found
 
-    def _lose(self, why: str) -> None:
+    def _drop(self, why: str) -> None:
         if self.replica is not None:
             log_event(
                 Event.upstream_removed,
--- a/src/wigeonpier/hosted/views.py
+++ b/src/wigeonpier/hosted/views.py
@@ -1,4 +1,4 @@
-"""What an entry has read of jobs; nothing of it ever changes."""
+"""Caches the parts of jobs that an entry has read; they are immutable."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
     )
     from wigeonpier.models import ItemResult, JobItem
 
-READ_SECONDS = 1.2
+READ_TIMEOUT_SECONDS = 1.2
 PAUSE_SECONDS = 0.15
 RETRY_AFTER_SECONDS = 1.0
-# Readers of one job within this time share one look at the store; what has
-# been read anywhere must be readable everywhere a second later.
+# Readers of one job within this time share one read of the store.  A result
+# that any entry has returned must be readable at every entry a second later.
 FRESH_SECONDS = 0.7
-# A slowed store answers within 0.3 s; a look that takes longer waits for
-# results that do not exist yet.
-SHARED_LOOK_SECONDS = 0.6
-MOST_JOBS = 64
+# A slow store answers within 0.3 s; a read that takes longer waits for results
+# that do not exist yet.
+SHARED_READ_SECONDS = 0.6
+MAX_JOBS = 64
 # One page of results holds at most 1 MB.
-PAGE_BYTES = 900_000
+MAX_PAGE_BYTES = 900_000
 
 
 @dataclass(slots=True)
 class JobView:
-    """One job as far as it was read.
+    """The part of one job that has been read.
 
     :param head: its head.
     :param results: results by position.
     :param revision: revision up to which results were read.
-    :param looked_at: when they were read.
-    :param items: its items, read when a body is asked for.
-    :param is_closed: whether it was taken off the board here.
-    :param lock: held by whoever looks for new results.
+    :param looked_at: when they were read, seconds of the monotonic clock.
+    :param items: its items, read when a body is requested.
+    :param is_closed: whether this process removed it from the board.
+    :param lock: held while new results are read.
     """
 
     head: JobHead
@@ -65,41 +65,47 @@
 
     @property
     def name(self) -> str:
-        """Give the id of the job."""
+        """Id of the job."""
         return self.head.job.name
 
     def cut_page(self, after: int) -> ResultPage:
-        """Cut a page of results.
+        """Make a page of results.
 
         :param after: position of the first one.
-        :returns: as many as one answer may hold, at least one if there is.
+        :returns: as many results as fit in one answer, at least one if there
+            is any.
         """
         page: list[ItemResult] = []
         size = 0
         for placed in self.results[after:]:
             size += len(placed.found.output)
-            if page and size > PAGE_BYTES:
+            if page and size > MAX_PAGE_BYTES:
                 break
             page.append(placed.found)
         return ResultPage(len(self.head.names), tuple(page))
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether each item has its result."""
+        """Check whether each item has its result."""
         return len(self.results) >= len(self.head.names)
 
 
 class JobViews:
-    """Reads jobs, and keeps what it has read."""
+    """Reads jobs and caches them."""
 
     def __init__(
         self,
         ledger: JobLedger,
         is_held: Callable[[str], bool],
     ) -> None:
-        """Read from the ledger; ask whether disks hold what it lacks."""
+        """Read from the ledger.
+
+        :param ledger: jobs in the store.
+        :param is_held: checks whether disks may hold a job that the store
+            lacks.
+        """
         self._ledger = ledger
-        self._is_held = is_held
+        self._may_be_on_disk = is_held
         self._views: dict[str, JobView] = {}
 
     def find(self, name: str) -> JobView:
@@ -107,17 +113,17 @@
 
         :param name: id of the job.
         :returns: its view.
-        :raises Refusal: where there is none, or that cannot be known.
+        :raises Refusal: if there is none, or if the store cannot be read.
         """
         view = self._views.get(name)
         if view is not None:
             return view
         read = self._read_job(name)
-        if read is None and self._is_held(name):
+        if read is None and self._may_be_on_disk(name):
             raise refuse_unread()
         if read is None:
             raise Refusal(ErrorKind.not_found, f'there is no job {name}')
-        while len(self._views) >= MOST_JOBS:
+        while len(self._views) >= MAX_JOBS:
             self._views.pop(next(iter(self._views)))
         view = JobView(
             read.head,
@@ -128,28 +134,29 @@
         return self._views.setdefault(name, view)
 
     def has_results(self, name: str, known: int) -> bool:
-        """Tell whether a job was read here beyond some results.
+        """Check whether more results are cached than a reader has.
 
         :param name: id of the job.
-        :param known: results that a reader has.
-        :returns: true where no look is needed to answer it.
+        :param known: number of results that the reader has.
+        :returns: true if the reader can be answered from the cache.
         """
         view = self._views.get(name)
         return view is not None and len(view.results) > known
 
     def find_body(self, name: str, item: str) -> bytes | None:
-        """Find the body of an item, at a tenth of a call's price.
+        """Find the body of an item, by a read at a tenth of a call's price.
 
         :param name: id of the job.
         :param item: id of the item.
         :returns: its bytes, ``None`` where the job has no such item.
-        :raises Refusal: where there is no such job, or that cannot be known.
+        :raises Refusal: if there is no such job, or if the store cannot be
+            read.
         """
         listed = self._ledger.list_items(name)
         found = _pick_body(listed.unwrap_or([]), item)
         if found is not None:
             return found
-        # A stale read may miss what was written just now.
+        # A stale read may miss a recent write.
         return _pick_body(self.find_items(self.find(name)), item)
 
     def find_items(self, view: JobView) -> list[JobItem]:
@@ -166,25 +173,26 @@
         return view.items
 
     def look(self, view: JobView, known: int, wait: float) -> None:
-        """Read new results, once for all readers that ask at the time.
+        """Read new results, by one call for all concurrent readers.
 
         :param view: the job.
-        :param known: results that the reader has.
+        :param known: number of results that the reader has.
         :param wait: longest wait for more, seconds.
-        :raises Refusal: where there is nothing new and that is not certain.
+        :raises Refusal: if no new results are known and the store cannot be
+            read.
         """
-        has_news = len(view.results) > known
-        # Whoever looks right now adds results as they come.  Until its call
-        # has been with the store for a while, what is known may be old.
-        patience = 0 if has_news else max(wait, SHARED_LOOK_SECONDS)
-        if not view.lock.acquire(timeout=patience):
+        has_new_results = len(view.results) > known
+        # A concurrent reader adds results as they arrive.  Until its call has
+        # been at the store for a while, the cached results may be outdated.
+        timeout = 0 if has_new_results else max(wait, SHARED_READ_SECONDS)
+        if not view.lock.acquire(timeout=timeout):
             return
         with ExitStack() as stack:
             stack.callback(view.lock.release)
-            self._look_on(view, known, wait)
+            self._refresh_locked(view, known, wait)
 
     def close_finished(self, view: JobView) -> None:
-        """Take a job off the board when its last result was read.
+        """Remove a job from the board once its last result was read.
 
         :param view: the job.
         """
@@ -197,7 +205,7 @@
 
         :param view: the job.
         :param wait: longest wait for one, seconds.
-        :returns: false where it is not certain that there is none.
+        :returns: false if the store could not be read.
         """
         read = self._read_results(view, wait)
         view.looked_at = time.monotonic()
@@ -208,15 +216,15 @@
         self.close_finished(view)
         return True
 
-    def _look_on(self, view: JobView, known: int, wait: float) -> None:
-        has_news = len(view.results) > known
+    def _refresh_locked(self, view: JobView, known: int, wait: float) -> None:
+        has_new_results = len(view.results) > known
         age = time.monotonic() - view.looked_at
-        is_enough = has_news or not wait
+        is_enough = has_new_results or not wait
         if view.is_finished or (age < FRESH_SECONDS and is_enough):
             return
-        is_certain = self.read_on(view, 0 if has_news else wait)
-        # Results that are known never change, and are given all the same.
-        if not is_certain and not has_news:
+        is_certain = self.read_on(view, 0 if has_new_results else wait)
+        # Cached results never change, and are returned without the store too.
+        if not is_certain and not has_new_results:
             raise refuse_unread()
 
     def _read_results(
@@ -224,10 +232,10 @@
         view: JobView,
         wait: float,
     ) -> Result[tuple[list[PlacedResult], int], Failure]:
-        heard = self._ledger.await_results(view.name, view.revision, wait)
-        if isinstance(heard, Ok):
-            return heard
-        # The history from that revision on may be gone.
+        answered = self._ledger.await_results(view.name, view.revision, wait)
+        if isinstance(answered, Ok):
+            return answered
+        # The history since that revision may be compacted.
         read = self._ledger.read_job(view.name)
         if isinstance(read, Err):
             return read
@@ -237,12 +245,12 @@
         return Ok((read.ok_value.results, read.ok_value.revision))
 
     def _read_job(self, name: str) -> StoredJob | None:
-        give_up = time.monotonic() + READ_SECONDS
+        deadline = time.monotonic() + READ_TIMEOUT_SECONDS
         while True:
             read = self._ledger.read_job(name)
             if isinstance(read, Ok):
                 return read.ok_value
-            if time.monotonic() > give_up:
+            if time.monotonic() > deadline:
                 raise refuse_unread()
             gevent.sleep(PAUSE_SECONDS)
 
@@ -253,7 +261,7 @@
 
 
 def refuse_unread() -> Refusal:
-    """Refuse what cannot be known while the store is out of reach.
+    """Make the refusal for reads while the store is unreachable.
 
     :returns: the refusal.
     """
--- a/tests/hosted/test_replicas.py
+++ b/tests/hosted/test_replicas.py
@@ -1,4 +1,4 @@
-"""Which upstreams may be routed to."""
+"""Upstreams that may be routed to."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 def build_change(
     name: str, revision: int, created: int = 0, **changes: Any
 ) -> Change:
-    """Make an entry of the register as a replica writes it."""
+    """Make a change of an entry of the register as a replica writes it."""
     raw = msgspec.json.encode(ENTRY | changes)
     return Change(f'servers/{name}', raw, revision, created or revision)
 
@@ -57,10 +57,10 @@
 
 
 @pytest.mark.parametrize('order', [(0, 1), (1, 0)])
-def test_the_last_start_keeps_an_address(register, order) -> None:
-    """A list is in order of ids, which says nothing of time.
+def test_last_start_keeps_address(register, order) -> None:
+    """A list is in order of ids, not of time.
 
-    An older entry that came second had put the newer one out for good.
+    An older entry that was read second removed the newer one for good.
     """
     entries = [build_change('old', 5), build_change('new', 9)]
     for index in order:
@@ -71,8 +71,8 @@
 
 
 @pytest.mark.parametrize('order', [(0, 1), (1, 0)])
-def test_the_start_settles_who_has_an_address(register, order) -> None:
-    """The key of a replica that starts again under its id is an old one."""
+def test_start_time_decides_owner_of_address(register, order) -> None:
+    """A replica that restarts under its id keeps the old key."""
     entries = [
         build_change('reborn', 9, created=3, born=900),
         build_change('other', 7, born=500),
@@ -82,11 +82,11 @@
     assert list(register.upstreams) == ['reborn']
 
 
-def test_the_instance_that_answers_gets_its_address(register) -> None:
+def test_answering_instance_gets_address(register) -> None:
     """An entry of an earlier start was written after that of the next one.
 
-    The later entry hid the replica until its own entry changed, which may be
-    never.
+    The later entry hid the replica until its own entry changed, which may
+    never happen.
     """
     register.view._apply(build_change('current', 5))
     register.view._apply(build_change('stale', 9))
@@ -95,14 +95,14 @@
     assert not register.upstreams['current'].is_leaving
 
 
-@pytest.mark.parametrize('answers', ['', 'unlisted'])
-def test_an_unknown_instance_gets_no_address(register, answers) -> None:
+@pytest.mark.parametrize('instance', ['', 'unlisted'])
+def test_unknown_instance_gets_no_address(register, instance) -> None:
     register.view._apply(build_change('stale', 9))
-    register.note_replaced(register.upstreams['stale'], answers)
+    register.note_replaced(register.upstreams['stale'], instance)
     assert [state.is_leaving for state in register.upstreams.values()] == [True]
 
 
-def test_an_entry_that_lapses_uncovers_another(register) -> None:
+def test_expired_entry_restores_hidden_one(register) -> None:
     register.view._apply(build_change('current', 5))
     register.view._apply(build_change('stale', 9))
     register.view._apply(Change('servers/stale', None, 12))
@@ -115,8 +115,8 @@
     assert sorted(register.upstreams) == ['x', 'y']
 
 
-def test_another_start_under_an_id_begins_anew(register) -> None:
-    """It is known by its own deeds, and it does not leave."""
+def test_new_start_under_same_id_has_fresh_state(register) -> None:
+    """It inherits neither ejection, load nor leaving."""
     register._apply(build_change('x', 5, born=500))
     first = register.upstreams['x']
     first.ejected_until = 1e9
@@ -131,9 +131,7 @@
 
 
 @pytest.mark.parametrize('is_gone', [True, False])
-def test_late_words_of_an_earlier_start_change_nothing(
-    register, is_gone
-) -> None:
+def test_late_writes_of_earlier_start_are_ignored(register, is_gone) -> None:
     """A write whose answer was lost may take effect seconds later."""
     register._apply(build_change('x', 5, born=500))
     register._apply(build_change('x', 6, 5, born=501))
@@ -144,7 +142,7 @@
     assert [state.is_leaving for state in states] == [False] * (not is_gone)
 
 
-def test_an_address_that_moves_is_followed(register) -> None:
+def test_changed_address_is_followed(register) -> None:
     register._apply(build_change('x', 5, address='127.0.0.1:1'))
     register._apply(build_change('x', 6, 5, address='127.0.0.1:2'))
     assert register.upstreams['x'].address == '127.0.0.1:2'
@@ -165,8 +163,8 @@
         msgspec.json.encode({'service': SERVICE}),
     ],
 )
-def test_what_is_no_entry_names_no_replica(register, raw) -> None:
-    """Neither the key's own replica of before, nor another one."""
+def test_unreadable_entry_removes_its_replica(register, raw) -> None:
+    """It removes the key's earlier replica, and no other one."""
     register._apply(build_change('x', 4, address='127.0.0.1:1'))
     register._apply(build_change('y', 5, address='127.0.0.1:2'))
     register._apply(Change('servers/x', raw, 6, 4))
@@ -185,17 +183,17 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), FOREIGN | st.none()), max_size=12))
-def test_foreign_entries_never_change_what_is_known_of_sound_ones(
+def test_foreign_entries_do_not_affect_valid_ones(
     writes,
 ) -> None:
-    """Any bytes under any key, mixed with what replicas write."""
+    """Mixes any bytes under any key with entries of replicas."""
     mixed, clean = build_register(), build_register()
     expected: dict[int, bool] = {}
     for revision, (number, raw) in enumerate(writes, 1):
         address = f'127.0.0.1:{number + 1}'
-        sound = build_change(f'i-{number}', revision, 1, address=address)
+        valid = build_change(f'i-{number}', revision, 1, address=address)
         change = (
-            sound
+            valid
             if raw is None
             else Change(f'servers/i-{number}', raw, revision, 1)
         )
--- a/tests/hosted/test_views.py
+++ b/tests/hosted/test_views.py
@@ -1,4 +1,4 @@
-"""What readers of one job share, and what they must not miss."""
+"""Shared reads of one job, and results that a reader must not miss."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 
 
 class StandInLedger:
-    """Holds results, and answers as slowly as it is told."""
+    """Stores results, and answers after a set delay."""
 
     def __init__(self) -> None:
         """Begin with no results."""
         self.results: list[PlacedResult] = []
         self.delay = 0.0
-        self.looks = 0
-        self.is_away = False
+        self.reads = 0
+        self.is_down = False
 
     def read_job(self, name: str) -> Ok | Err:
-        self.looks += 1
+        self.reads += 1
         gevent.sleep(self.delay)
-        if self.is_away:
+        if self.is_down:
             return Err(Failure.unavailable)
         if name != 'j':
             return Ok(None)
         return Ok(StoredJob(HEAD, list(self.results), len(self.results) + 1))
 
     def await_results(self, _job, revision: int, wait: float) -> Ok | Err:
-        self.looks += 1
+        self.reads += 1
         gevent.sleep(self.delay)
-        if self.is_away:
+        if self.is_down:
             return Err(Failure.unavailable)
         fresh = self.results[revision - 1 :]
         if not fresh:
@@ -68,8 +68,11 @@
     return JobViews(ledger, lambda name: name == 'held')
 
 
-def test_a_reader_beside_a_look_is_not_told_what_is_old(views, ledger) -> None:
-    """Another reader had the results, and this one was told of none."""
+def test_reader_during_read_gets_no_outdated_results(views, ledger) -> None:
+    """A reader beside a running read got the cached results only.
+
+    Another reader already had more results.
+    """
     view = views.find('j')
     views.look(view, 0, 0)
     view.looked_at -= 9
@@ -82,26 +85,26 @@
     first.get()
 
 
-def test_a_reader_without_patience_does_not_wait_for_one_with_it(
+def test_reader_without_wait_is_not_blocked_by_waiting_one(
     views, ledger
 ) -> None:
     view = views.find('j')
     views.look(view, 0, 0)
-    patient = gevent.spawn(views.look, view, 0, 5.0)
+    waiting = gevent.spawn(views.look, view, 0, 5.0)
     gevent.sleep(0.02)
     with gevent.Timeout(1):
         views.look(view, 0, 0)
-    patient.kill()
+    waiting.kill()
 
 
-def test_readers_share_a_look(views, ledger) -> None:
+def test_readers_share_one_read(views, ledger) -> None:
     view = views.find('j')
     for _reader in range(5):
         views.look(view, 0, 0)
-    assert ledger.looks == 1
+    assert ledger.reads == 1
 
 
-def test_a_reader_from_the_start_gets_what_came_since(views, ledger) -> None:
+def test_reader_from_start_gets_later_results(views, ledger) -> None:
     ledger.results = [build_result(0)]
     view = views.find('j')
     views.look(view, 0, 0)
@@ -111,11 +114,11 @@
     assert len(view.results) == 2
 
 
-def test_results_stay_readable_while_the_store_is_away(views, ledger) -> None:
+def test_results_stay_readable_while_store_is_down(views, ledger) -> None:
     ledger.results = [build_result(0)]
     view = views.find('j')
     views.look(view, 0, 0)
-    ledger.is_away = True
+    ledger.is_down = True
     view.looked_at -= 9
     views.look(view, 0, 0)
     assert len(view.results) == 1
@@ -125,17 +128,17 @@
     assert refused.value.status == 503
 
 
-def test_what_disks_may_hold_is_not_said_to_be_missing(views) -> None:
+def test_job_that_may_be_on_disk_is_not_reported_missing(views) -> None:
     for name, status in (('held', 503), ('none', 404)):
         with pytest.raises(Refusal) as refused:
             views.find(name)
         assert refused.value.status == status
 
 
-def test_one_call_shows_a_new_reader_everything(views, ledger) -> None:
-    """Readers come to many entries; each knew a job after two calls."""
+def test_new_reader_gets_all_results_by_one_call(views, ledger) -> None:
+    """Readers use many entries; each needed two calls to read a job."""
     ledger.results = [build_result(0)]
     view = views.find('j')
     views.look(view, 0, 1.0)
     assert len(view.results) == 1
-    assert ledger.looks == 1
+    assert ledger.reads == 1
