--- a/src/wigeonpier/hosted/board.py
+++ b/src/wigeonpier/hosted/board.py
@@ -1,4 +1,4 @@
-"""The board: jobs with items left, who runs items, who has a disk."""
+"""Snapshot of the board: open jobs, workers, disks and refused requests."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 @dataclass(slots=True)
 class Board:
-    """Jobs with items left, and who runs items.
+    """Open jobs, and the processes that run or store them.
 
     :param jobs: by id.
     :param revisions: revisions of the jobs' keys, by id.
-    :param members: who runs items, by name of their VM.
-    :param disks: who keeps jobs on a disk, by name of their VM.
-    :param refused: requests that are not run any more, by fingerprint.
+    :param members: workers that run items, by name of their VM.
+    :param disks: processes that store jobs on a disk, by name of their VM.
+    :param refused: refused requests, by fingerprint.
     """
 
     jobs: dict[str, OpenJob] = field(default_factory=dict)
@@ -33,7 +33,7 @@
     refused: dict[str, QuarantineEntry] = field(default_factory=dict)
 
     def put(self, entry: Entry) -> None:
-        """Take in a key of the board.
+        """Add a key of the board.
 
         :param entry: the key.
         """
@@ -53,7 +53,7 @@
             self.refused[fingerprint] = refused
 
     def list_members(self, service: str) -> list[Member]:
-        """List who runs items of a service.
+        """List the workers that run items of a service.
 
         :param service: name of the service.
         :returns: the members.
--- a/src/wigeonpier/hosted/common.py
+++ b/src/wigeonpier/hosted/common.py
@@ -1,4 +1,4 @@
-"""Parts that every daemon on the users' platform has."""
+"""Components that all hosted daemons share."""
 
 from __future__ import annotations
 
@@ -25,19 +25,20 @@
     from wigeonpier.platform.port import Change
     from wigeonpier.web.messages import Request
 
-# Others belong to listeners and folders that are open.
+# Settings that a reload applies at once; the others belong to open listeners
+# and folders.
 APPLIED_AT_ONCE = frozenset(('store',))
 
 
 @dataclass(slots=True)
 class Common:
-    """Parts that every hosted daemon has.
+    """Components that all hosted daemons share.
 
-    :param settings: what the process was told.
-    :param metrics: its numbers.
-    :param pool: connections to others.
+    :param settings: settings of the process.
+    :param metrics: its metrics.
+    :param pool: connections to other processes.
     :param store: the key-value service.
-    :param contact: whether it answers.
+    :param contact: tracks whether the store answers.
     :param draw: source of randomness.
     """
 
@@ -68,11 +69,12 @@
         prefix: str,
         on_change: Callable[[Change], None],
     ) -> PrefixView:
-        """Make a view of keys, to be started.
+        """Make a view of the keys with a prefix; the caller starts it.
 
-        :param prefix: start of the keys.
+        :param prefix: prefix of the keys.
         :param on_change: called with each change, in order.
-        :returns: the view; it goes on as soon as the store answers anybody.
+        :returns: the view; after an outage it resumes as soon as the store
+            answers any call of this process.
         """
         return PrefixView(
             self.store,
@@ -83,21 +85,21 @@
         )
 
     def apply(self, settings: HostSettings) -> set[str]:
-        """Take settings that were read anew.
+        """Replace the settings after a reload.
 
-        :param settings: the new ones.
-        :returns: names of those that differ.
+        :param settings: the new settings.
+        :returns: names of the settings that changed.
         """
-        known = asdict(self.settings)
-        fresh = asdict(settings)
+        previous = asdict(self.settings)
+        current = asdict(settings)
         self.store.calls.address = settings.store
         self.settings = settings
-        return {name for name in known if known[name] != fresh[name]}
+        return {name for name in previous if previous[name] != current[name]}
 
     def serve_metrics(self, *routes: Route) -> Server:
-        """Serve the numbers of the process.
+        """Serve the metrics of the process.
 
-        :param routes: other paths for operators.
+        :param routes: further routes for operators.
         :returns: the server, started.
         """
         self.metrics.add_gauge('connections', lambda: self.pool.opened)
--- a/src/wigeonpier/hosted/configuration.py
+++ b/src/wigeonpier/hosted/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration in force, followed by a watch."""
+"""Follows the operator's configuration by a watch."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 
 
 class ConfigurationWatch:
-    """Holds the newest configuration that this process has seen."""
+    """Holds the newest configuration that this process has read."""
 
     def __init__(self, make_view: ViewFactory) -> None:
         """Watch the operator's key once started."""
         self.current: ServedConfiguration | None = None
-        # Revision of the newest value that was seen.
+        # Revision of the newest value that was decoded.
         self.revision = 0
         self.view = make_view(CONFIGURATION_KEY, self._apply)
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start to watch."""
         self.view.start()
 
     def get_version(self) -> int:
-        """Tell which version is in force.
+        """Return the active version.
 
-        :returns: the version, 0 where none is known.
+        :returns: the version, 0 if there is none yet.
         """
         return self.current.version if self.current else 0
 
     def take(self, entry: Entry) -> None:
-        """Take in the operator's key as it was read beside the watch.
+        """Apply the operator's key as read outside the watch.
 
         :param entry: the key.
         """
@@ -68,11 +68,11 @@
         if self.current is not None and found.version <= self.current.version:
             return
         self.current = found
-        for oddity in found.oddities:
+        for warning in found.oddities:
             log_event(
                 Event.configuration_odd,
                 version=found.version,
-                problem=oddity,
+                problem=warning,
             )
         log_event(
             Event.configuration_applied,
--- a/src/wigeonpier/hosted/events.py
+++ b/src/wigeonpier/hosted/events.py
@@ -1,4 +1,4 @@
-"""Events of an upstream's stream, each taken whole or not at all."""
+"""Reads complete events from an upstream's event stream."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class StreamEvent:
     """One event.
 
-    :param raw: its bytes, with the blank line that ends it.
+    :param raw: its bytes, including the blank line that ends it.
     :param identity: its id, empty where it has none.
     """
 
@@ -26,39 +26,43 @@
 
     @property
     def text(self) -> str:
-        """Give its data, lines separated by line feeds.
+        """Data of the event, lines separated by line feeds.
 
-        :raises UnicodeDecodeError: where it is no text; whoever only passes
-            the event on need not know.
+        Decoded on access, since an event that is only passed on need not be
+        text.
+
+        :raises UnicodeDecodeError: if the data is not UTF-8.
         """
-        found = [
+        data_lines = [
             line[len(DATA) :].removeprefix(b' ').removesuffix(b'\r')
             for line in self.raw.split(b'\n')
             if line.startswith(DATA)
         ]
-        return b'\n'.join(found).decode()
+        return b'\n'.join(data_lines).decode()
 
 
 class EventReader:
-    """Reads whole events off an answer."""
+    """Reads complete events from an answer."""
 
     def __init__(self, answer: Exchange) -> None:
-        """Read from where the answer's body stands."""
+        """Read from the current position of the answer's body."""
         self._answer = answer
 
-    def read(self, patience: float) -> StreamEvent | None:
+    def read(self, timeout: float) -> StreamEvent | None:
         """Read the next event.
 
-        :param patience: longest silence, seconds.
-        :returns: the event, ``None`` at the end of a whole stream.
-        :raises OSError: when the stream breaks off, also within an event.
+        :param timeout: longest wait for a line, seconds.
+        :returns: the event, ``None`` at the end of a complete stream.
+        :raises OSError: if the stream is truncated, also within an event.
         """
         lines: list[bytes] = []
         while True:
-            line = self._answer.read_line(patience)
+            line = self._answer.read_line(timeout)
             if not line:
                 if lines:
-                    raise ConnectionResetError('the last event is not whole')
+                    raise ConnectionResetError(
+                        'the stream ended within an event'
+                    )
                 return None
             lines.append(line)
             if line in BLANK:
--- a/src/wigeonpier/hosted/following.py
+++ b/src/wigeonpier/hosted/following.py
@@ -1,4 +1,4 @@
-"""Follows the results of jobs that somebody reads."""
+"""Follows the results of jobs that callers read."""
 
 from __future__ import annotations
 
@@ -16,98 +16,103 @@
     from wigeonpier.hosted.contact import StoreContact
     from wigeonpier.hosted.views import JobView, JobViews
 
-# Callers read about twice a second; a job that nobody reads is left.
+# Callers read about twice a second; a job that is not read for so long is no
+# longer followed.
 IDLE_SECONDS = 4.0
-# One call waits so long for the next result, well within the store's history.
+# Longest wait of one call for the next result, well within the store's history.
 WATCH_SECONDS = 8.0
-# The store answers a first call in 4 ms, a slowed one within 0.3 s.
-FIRST_SECONDS = 0.4
+# The store answers the initial call in 4 ms, and within 0.3 s when it is slow.
+INITIAL_READ_SECONDS = 0.4
 # Batches results that finish within a short time.
 GATHER_SECONDS = 0.5
 
 
 @dataclass(slots=True)
-class _Follow:
+class _FollowedJob:
     """One job that is followed.
 
     :param view: the job.
-    :param asked_at: when somebody read it last, seconds of the steady clock.
-    :param news: set when there are results beyond those known now.
-    :param is_read: set once the store was asked for what came since the view
-        was read last.
-    :param called_at: when the call that waits now was begun, likewise.
+    :param last_read_at: when a caller last read it, seconds of the monotonic
+        clock.
+    :param updated: set when results are added, and then replaced.
+    :param is_current: set once the view was updated from the store.
+    :param called_at: when the current call was started, seconds of the
+        monotonic clock.
     """
 
     view: JobView
-    asked_at: float
-    news: Signal = field(default_factory=Signal)
-    is_read: Signal = field(default_factory=Signal)
+    last_read_at: float
+    updated: Signal = field(default_factory=Signal)
+    is_current: Signal = field(default_factory=Signal)
     called_at: float = 0
 
 
 class FollowedJobs:
-    """Keeps the views of jobs fresh as long as they are read."""
+    """Keeps the views of jobs up to date as long as they are read."""
 
     def __init__(self, views: JobViews, contact: StoreContact) -> None:
-        """Follow none yet."""
+        """Start without followed jobs."""
         self._views = views
         self._contact = contact
-        self._follows: dict[str, _Follow] = {}
+        self._follows: dict[str, _FollowedJob] = {}
 
     def find(self, name: str) -> JobView:
         """Find a job, and follow it from now on.
 
         :param name: id of the job.
         :returns: its view.
-        :raises Refusal: where there is none, or that cannot be known.
+        :raises Refusal: if there is none, or if the store cannot be read.
         """
         follow = self._follows.get(name)
         if follow is None:
             view = self._views.find(name)
             follow = self._follows.get(name)
             if follow is None and not view.is_finished:
-                follow = _Follow(view, time.monotonic())
+                follow = _FollowedJob(view, time.monotonic())
                 self._follows[name] = follow
                 gevent.spawn(self._run, follow)
             if follow is None:
                 return view
-        follow.asked_at = time.monotonic()
+        follow.last_read_at = time.monotonic()
         return follow.view
 
     def await_news(self, view: JobView, known: int, wait: float) -> None:
         """Wait until there are results that a reader does not have.
 
         :param view: the job.
-        :param known: results that the reader has.
+        :param known: number of results that the reader has.
         :param wait: longest wait, seconds.
-        :raises Refusal: where it is not certain that there are none.
+        :raises Refusal: if there may be results that could not be read.
         """
-        give_up = time.monotonic() + wait
+        deadline = time.monotonic() + wait
         while len(view.results) <= known and not view.is_finished:
-            follow = self._get_read(view.name)
-            left = give_up - time.monotonic()
-            if left <= 0:
+            follow = self._get_current(view.name)
+            remaining = deadline - time.monotonic()
+            if remaining <= 0:
                 self._check_current(follow)
                 return
-            follow.news.wait(left)
+            follow.updated.wait(remaining)
 
-    def _get_read(self, name: str) -> _Follow:
+    def _get_current(self, name: str) -> _FollowedJob:
         follow = self._follows.get(name)
-        if follow is None or not follow.is_read.wait(FIRST_SECONDS):
+        if follow is None or not follow.is_current.wait(INITIAL_READ_SECONDS):
             raise refuse_unread()
         return follow
 
-    def _check_current(self, follow: _Follow) -> None:
-        """Make sure that a call that waits would have told of news.
+    def _check_current(self, follow: _FollowedJob) -> None:
+        """Check that the waiting call would have reported new results.
 
-        One whose answer was due while the store was away waits in vain.
+        A call whose answer was due during an outage of the store is never
+        answered.
+
+        :raises Refusal: if there was an outage since the call was started.
         """
         if not self._contact.has_kept_since(follow.called_at):
             raise refuse_unread()
 
-    def _run(self, follow: _Follow) -> None:
+    def _run(self, follow: _FollowedJob) -> None:
         with ExitStack() as stack:
-            stack.callback(self._end, follow)
+            stack.callback(self._stop, follow)
             wait: float = 0
             is_certain = True
             while is_certain and self._is_wanted(follow):
@@ -115,16 +120,16 @@
                 is_certain = self._views.read_on(follow.view, wait)
                 wait = WATCH_SECONDS
                 if is_certain:
-                    follow.is_read.set()
-                    follow.news.set()
-                    follow.news = Signal()
+                    follow.is_current.set()
+                    follow.updated.set()
+                    follow.updated = Signal()
                     gevent.sleep(GATHER_SECONDS)
 
-    def _is_wanted(self, follow: _Follow) -> bool:
-        idle = time.monotonic() - follow.asked_at
-        return idle < IDLE_SECONDS and not follow.view.is_finished
+    def _is_wanted(self, follow: _FollowedJob) -> bool:
+        idle_seconds = time.monotonic() - follow.last_read_at
+        return idle_seconds < IDLE_SECONDS and not follow.view.is_finished
 
-    def _end(self, follow: _Follow) -> None:
+    def _stop(self, follow: _FollowedJob) -> None:
         self._follows.pop(follow.view.name)
-        follow.is_read.set()
-        follow.news.set()
+        follow.is_current.set()
+        follow.updated.set()
--- a/src/wigeonpier/hosted/knowledge.py
+++ b/src/wigeonpier/hosted/knowledge.py
@@ -1,4 +1,4 @@
-"""Knows how old this process's knowledge of the configuration is."""
+"""Tracks how recently the configuration was confirmed to be the newest."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
     from wigeonpier.hosted.configuration import ConfigurationWatch
 
-# Until there is a configuration with customers.
-IDLE_SECONDS = 0.1
-# Looks at the age are so much closer than its shortest bound.
-LOOKS = 50
+# Interval of checks until there is a configuration with customers.
+IDLE_CHECK_SECONDS = 0.1
+# Checks of the age within the bound.
+CHECKS_PER_BOUND = 50
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What was the newest configuration at a moment.
+    """Newest revision of the configuration at a moment.
 
     :param revision: revision of its key.
-    :param asked_at: when the reading was asked for, seconds of the clock
+    :param asked_at: when the reading was requested, seconds of the clock
         that :func:`read_clock` reads.
     """
 
@@ -40,7 +40,7 @@
 
 
 def read_clock() -> float:
-    """Read a steady clock that goes on while the machine is suspended.
+    """Read a monotonic clock that includes time in suspension.
 
     :returns: seconds.
     """
@@ -48,7 +48,7 @@
 
 
 class ConfigurationKnowledge:
-    """Proves again and again that the configuration in force is the newest."""
+    """Periodically confirms that the active configuration is the newest."""
 
     def __init__(
         self,
@@ -56,34 +56,34 @@
         bound: float,
         prove: Callable[[], Reading | None],
     ) -> None:
-        """Prove a configuration that has customers.
+        """Confirm a configuration that has customers.
 
-        :param configuration: configuration in force.
-        :param bound: seconds in which the end of a key has to be in force, 0
-            where that is not promised.
-        :param prove: gets a reading, ``None`` where nobody has one.
+        :param configuration: the active configuration.
+        :param bound: seconds within which a revoked key must be rejected, 0
+            for no bound.
+        :param prove: obtains a reading, ``None`` if there is no answer.
         """
         self._configuration = configuration
         self._bound = bound
         self._prove = prove
-        self._proved_at = -math.inf
-        self._is_old = False
+        self._confirmed_at = -math.inf
+        self._is_outdated = False
 
     def start(self) -> None:
-        """Begin to prove; nothing is asked before there are customers."""
+        """Start to confirm; no request is sent before there are customers."""
         if self._bound:
             spawn_loop('knowledge', self._step)
 
     def measure(self) -> Knowledge:
-        """Measure how far the configuration can be trusted.
+        """Measure how long ago the configuration was confirmed.
 
         :returns: its age and the bound.
         """
-        return Knowledge(read_clock() - self._proved_at, self._bound)
+        return Knowledge(read_clock() - self._confirmed_at, self._bound)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether callers with keys are to be sent here."""
+        """Check whether callers with keys may be routed to this entry."""
         if not self._has_customers:
             return True
         return freshness.is_ready(self.measure().age, self._bound)
@@ -95,25 +95,25 @@
 
     def _step(self) -> None:
         if not self._has_customers:
-            gevent.sleep(IDLE_SECONDS)
+            gevent.sleep(IDLE_CHECK_SECONDS)
             return
         age = self.measure().age
         self._report_age(age)
         if freshness.is_due(age, self._bound):
             self._take(self._prove())
-        gevent.sleep(self._bound / LOOKS)
+        gevent.sleep(self._bound / CHECKS_PER_BOUND)
 
     def _take(self, reading: Reading | None) -> None:
-        """Note a proof; one of what is not in force here proves nothing."""
+        """Record a reading if its revision is not newer than the active one."""
         if reading is None:
             return
         if reading.revision <= self._configuration.revision:
-            self._proved_at = max(self._proved_at, reading.asked_at)
+            self._confirmed_at = max(self._confirmed_at, reading.asked_at)
 
     def _report_age(self, age: float) -> None:
-        is_old = not freshness.may_judge(age, self._bound)
-        if is_old and not self._is_old and math.isfinite(age):
+        is_outdated = not freshness.may_judge(age, self._bound)
+        if is_outdated and not self._is_outdated and math.isfinite(age):
             log_event(Event.knowledge_old, age=round(age, 3))
-        elif self._is_old and not is_old:
+        elif self._is_outdated and not is_outdated:
             log_event(Event.knowledge_proved, age=round(age, 3))
-        self._is_old = is_old
+        self._is_outdated = is_outdated
--- a/src/wigeonpier/hosted/main.py
+++ b/src/wigeonpier/hosted/main.py
@@ -1,4 +1,4 @@
-"""Starts one of the daemons on the users' platform."""
+"""Starts one of the hosted daemons."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from wigeonpier.process import App
 
 USAGE_STATUS = 2
-# Left for the last bytes before the platform kills the process.
+# Reserved for the last bytes of answers before the platform kills the process.
 KILL_MARGIN_SECONDS = 0.6
 ROLES: MappingProxyType[str, Callable[[Common], App]] = MappingProxyType(
     {'entry': EntryApp, 'worker': WorkerApp, 'storage': StorageApp},
@@ -35,7 +35,7 @@
 
 
 def main() -> int:
-    """Run a daemon until it is told to stop.
+    """Run a daemon until a signal stops it.
 
     :returns: exit status.
     """
@@ -73,9 +73,9 @@
 
 
 def reload(common: Common, path: str) -> None:
-    """Read the settings anew, and keep the old ones where they are no use.
+    """Reload the settings, and keep the current ones if the file is invalid.
 
-    :param common: parts that use them.
+    :param common: components that use the settings.
     :param path: the settings file.
     """
     try:
--- a/src/wigeonpier/hosted/membership.py
+++ b/src/wigeonpier/hosted/membership.py
@@ -1,4 +1,4 @@
-"""Announces what this process does, by a key with a lease."""
+"""Announces this process on the board by a key with a lease."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from wigeonpier.platform.store import KeyValueStore
 
 LEASE_SECONDS = 3.0
-# Two renewals may be lost in a row.
-RENEWAL_SECONDS = 1.0
-CHECK_SECONDS = 0.2
-# A lease is a write, and every process tries to get one while the store
-# refuses them all.
-LONGEST_RETRY_SECONDS = 1.6
+# Two renewals in a row may be lost before the lease expires.
+RENEWAL_INTERVAL_SECONDS = 1.0
+CHECK_INTERVAL_SECONDS = 0.2
+# A grant of a lease is a write, and all processes request one while the store
+# refuses them.
+MAX_RETRY_SECONDS = 1.6
 
 
 class Membership:
-    """Keeps this process on the board while it does its work."""
+    """Keeps this process on the board as long as it is wanted there."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
     ) -> None:
         """Stay off the board until started and wanted.
 
-        :param store: keeps the key.
+        :param store: stores the key.
         :param key: name of the key.
         :param content: its value.
-        :param wait: waits so many seconds, less where the store returns.
+        :param wait: waits some seconds, or less if the store answers again.
         """
         self.is_wanted = False
         self._store = store
@@ -53,14 +53,14 @@
         self._content = msgspec.json.encode(content)
         self._lease = 0
         self._wait = wait
-        self._backoff = Backoff(CHECK_SECONDS, LONGEST_RETRY_SECONDS)
+        self._backoff = Backoff(CHECK_INTERVAL_SECONDS, MAX_RETRY_SECONDS)
 
     def start(self) -> None:
-        """Begin to join and to renew."""
+        """Start to join and to renew the lease."""
         spawn_loop('membership', self._step)
 
     def leave(self) -> None:
-        """Leave the board at once, without waiting to be missed."""
+        """Leave the board at once, before the lease expires."""
         self.is_wanted = False
         if self._lease:
             self._store.end_lease(self._lease)
@@ -70,16 +70,16 @@
     def _step(self) -> None:
         if self.is_wanted and self._lease:
             self._renew()
-            gevent.sleep(RENEWAL_SECONDS)
+            gevent.sleep(RENEWAL_INTERVAL_SECONDS)
         elif self.is_wanted:
             self._join()
         else:
             self.leave()
-            gevent.sleep(CHECK_SECONDS)
+            gevent.sleep(CHECK_INTERVAL_SECONDS)
 
     def _renew(self) -> None:
-        kept = self._store.keep_lease(self._lease)
-        if isinstance(kept, Ok) and not kept.ok_value:
+        renewed = self._store.keep_lease(self._lease)
+        if isinstance(renewed, Ok) and not renewed.ok_value:
             log_event(Event.member_left, key=self._key, why='lapsed')
             self._lease = 0
 
--- a/src/wigeonpier/hosted/newest.py
+++ b/src/wigeonpier/hosted/newest.py
@@ -1,10 +1,10 @@
-"""Tells entries which configuration is the newest, one reading for all.
+"""Reports the newest revision of the configuration to entries.
 
-The load that it answers: hundreds of entries that have to prove every second
-that no key was taken away.  Each of them that read for itself would cost the
-store a call a second, with thousands of keys in the answer; a few processes
-that read for all cost it a few.  An entry that alone has lost the store stays
-in service too.  What is told is a revision and its age: keys stay at the edge.
+Hundreds of entries must confirm every second that no key was revoked.  If each
+read for itself, each would cost the store a call a second, with thousands of
+keys in the answer; a few processes that read for all entries cost a few calls.
+An entry that alone has lost the store also stays in service.  Answers contain
+a revision and its age, and no keys.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 
 
 class ToldReading(msgspec.Struct, frozen=True):
-    """What the newest configuration was some time ago.
+    """Newest revision of the configuration some time ago.
 
     :param revision: revision of its key.
-    :param age: seconds since the reading was asked for.
+    :param age: seconds since the reading was requested.
     """
 
     revision: int
@@ -41,17 +41,21 @@
 
 
 class NewestHandler:
-    """Reads the revision of the configuration for entries that ask."""
+    """Reads the revision of the configuration on request of entries."""
 
     def __init__(self, store: KeyValueStore, bound: float) -> None:
-        """Read from the store; the bound is of the end of keys, seconds."""
+        """Read from the store.
+
+        :param store: stores the configuration.
+        :param bound: seconds within which a revoked key must be rejected.
+        """
         self._store = store
         self._bound = bound
         self._last: Reading | None = None
         self._lock = BoundedSemaphore()
 
     def make_routes(self) -> list[Route]:
-        """List the paths for entries.
+        """Make the routes for entries.
 
         :returns: the routes.
         """
@@ -61,10 +65,10 @@
         # Coalesces concurrent reads into one request.
         with self._lock:
             reading = self._read()
-        # The age is taken last: whatever delays the answer from here on makes
-        # it look younger by less than its way to the entry takes.
-        told = ToldReading(reading.revision, read_clock() - reading.asked_at)
-        return Response(HTTPStatus.OK, msgspec.json.encode(told), JSON_TYPE)
+        # The age is measured last, so that it is too low by no more than the
+        # delay of the answer on its way to the entry.
+        message = ToldReading(reading.revision, read_clock() - reading.asked_at)
+        return Response(HTTPStatus.OK, msgspec.json.encode(message), JSON_TYPE)
 
     def _read(self) -> Reading:
         last = self._last
--- a/src/wigeonpier/hosted/news.py
+++ b/src/wigeonpier/hosted/news.py
@@ -1,4 +1,4 @@
-"""What hosted processes tell and ask each other of suspected requests."""
+"""Messages between hosted processes on load and suspected requests."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class FeedLine(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One line of what the process beside an upstream tells entries.
+    """One line of the feed from a worker to entries.
 
     :param load: load of the upstream.
-    :param news: of suspected requests.
-    :param usage: what customers have asked for.
+    :param news: update of suspected requests.
+    :param usage: requests of customers.
     """
 
     load: QuestionLoad | None = None
@@ -23,13 +23,14 @@
 
 
 class QuarantineEntry(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A request as the key-value service and the disks keep it.
-
-    :param ends: upstreams that ended under it; their ages are of when it was
-        written.
-    :param kept_at: when it was written, seconds of the time of day; 0 where
-        the ages hold as it is read.
-    :param is_proved: whether it is refused; only disks keep what is suspected.
+    """A suspected request as stored in the key-value service and on disks.
+
+    :param ends: upstreams that crashed while running it; their ages refer to
+        the time at which it was written.
+    :param kept_at: when it was written, seconds of the wall clock; 0 if the
+        ages refer to the time at which it is read.
+    :param is_proved: whether it is refused; only disks store requests that are
+        merely suspected.
     """
 
     ends: tuple[EndNews, ...]
@@ -38,10 +39,10 @@
 
 
 class TrialAsk(msgspec.Struct, frozen=True):
-    """A suspected question for which a slot is asked.
+    """A suspected request for which a slot is requested.
 
-    :param fingerprint: the question.
-    :param company: what other suspected requests it bears beside it.
+    :param fingerprint: the request.
+    :param company: which other suspected requests may run beside it.
     """
 
     fingerprint: str
@@ -49,12 +50,12 @@
 
 
 class ReservationAsk(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What an entry asks the process beside an upstream.
+    """Request of an entry to a worker for a slot of its upstream.
 
-    :param is_late: whether the question is late already.
-    :param trial: of a suspected question, ``None`` for another one.
-    :param admitted: requests of customers with a limit that nobody was told
-        of yet, by customer.
+    :param is_late: whether the online request is already late.
+    :param trial: the suspected request, ``None`` for any other one.
+    :param admitted: requests of limited customers that were not yet reported,
+        by customer.
     """
 
     is_late: bool = False
--- a/src/wigeonpier/hosted/reach.py
+++ b/src/wigeonpier/hosted/reach.py
@@ -1,4 +1,4 @@
-"""Knows whether this process reaches anybody at all."""
+"""Detects whether this process is isolated from store and upstreams."""
 
 from __future__ import annotations
 
@@ -15,42 +15,45 @@
 if TYPE_CHECKING:
     from wigeonpier.hosted.contact import StoreContact
 
-# A cut is found this much later than it could be.
-LOOK_SECONDS = 0.1
+# Isolation is detected at most this much late.
+CHECK_INTERVAL_SECONDS = 0.1
 
 
 class Reach:
-    """Follows when others were heard, and asks the store when nobody is."""
+    """Tracks contact with upstreams, and probes the store if there is none."""
 
     def __init__(self, contact: StoreContact) -> None:
-        """Count as in reach until others were heard and fell silent."""
+        """Count as connected until a first contact was lost."""
         self.is_cut_off = False
         self._contact = contact
-        self._heard_at: float | None = None
+        self._last_contact_at: float | None = None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the periodic check."""
         spawn_loop('reach', self._step)
 
     def note_contact(self) -> None:
-        """Note that an upstream, or the process beside one, was heard."""
-        self._heard_at = time.monotonic()
+        """Record an answer or a message of an upstream or a worker."""
+        self._last_contact_at = time.monotonic()
         if self.is_cut_off:
             self.is_cut_off = False
             log_event(Event.reach_regained)
 
     def _step(self) -> None:
-        gevent.sleep(LOOK_SECONDS)
-        if self._heard_at is None:
+        gevent.sleep(CHECK_INTERVAL_SECONDS)
+        if self._last_contact_at is None:
             return
-        silent = time.monotonic() - self._heard_at
-        if isolation.is_suspicious(silent) and not self._contact.is_lost:
-            # Without a call nobody learns that the store is out of reach too.
+        silent_seconds = time.monotonic() - self._last_contact_at
+        if (
+            isolation.is_suspicious(silent_seconds)
+            and not self._contact.is_lost
+        ):
+            # Without a call an unreachable store is not detected.
             self._contact.ask()
         is_cut_off = isolation.is_cut_off(
-            time.monotonic() - self._heard_at,
+            time.monotonic() - self._last_contact_at,
             has_store=not self._contact.is_lost,
         )
         if is_cut_off and not self.is_cut_off:
-            log_event(Event.reach_lost, silent=round(silent, 3))
+            log_event(Event.reach_lost, silent=round(silent_seconds, 3))
         self.is_cut_off = is_cut_off
--- a/src/wigeonpier/hosted/relay.py
+++ b/src/wigeonpier/hosted/relay.py
@@ -1,10 +1,10 @@
-"""Carries calls to the store for a process that alone has lost it.
+"""Relays calls to the store for an entry that alone has lost it.
 
-The process beside each upstream tells entries whether the store answers it.
-An entry that the store does not answer has its calls carried by one that it
-does: a whole job of ten items was lost to an entry that was cut off from the
-store for twelve seconds while it reached every upstream.  Where the store is
-away from all, nobody offers to carry anything.
+Workers report to entries whether the store answers them.  An entry that the
+store does not answer sends its calls through a worker that it does answer:
+without relays a job of ten items was lost at an entry that was isolated from
+the store for twelve seconds while it reached every upstream.  If the store
+answers no process, no worker offers to relay.
 """
 
 from __future__ import annotations
@@ -30,43 +30,47 @@
     from wigeonpier.web.pool import ConnectionPool
 
 RELAY_PATH = '/relay'
-# Watches wait in them; an entry has about four and some readers.
-MOST_CALLS = 64
+# Includes waiting watches; an entry has about four, and some readers.
+MAX_CALLS = 64
 # A job of 200 items in base64, and its assignments.
-MOST_BODY_BYTES = 16_000_000
+MAX_BODY_BYTES = 16_000_000
 # A load feed sends at least one line each 0.5 s.
-TRUST_SECONDS = 1.0
+OFFER_SECONDS = 1.0
 
 
 class RelayHandler:
-    """Passes calls on to the store as they came."""
+    """Forwards calls to the store unchanged."""
 
     def __init__(self, calls: StoreCalls, pool: ConnectionPool) -> None:
-        """Reach the store as this process does."""
+        """Forward to the store of this process.
+
+        :param calls: calls of this process, which name the store's address.
+        :param pool: connections to the store.
+        """
         self._calls = calls
         self._pool = pool
-        self._in_hand = 0
+        self._in_flight = 0
 
     def make_routes(self) -> list[Route]:
-        """List the paths for entries.
+        """Make the routes for entries.
 
         :returns: the routes.
         """
         return [
-            make_route(method, f'{RELAY_PATH}/.*', self._pass_on)
+            make_route(method, f'{RELAY_PATH}/.*', self._forward)
             for method in ('GET', 'POST', 'DELETE')
         ]
 
-    def _pass_on(self, request: Request) -> Response:
-        if self._in_hand >= MOST_CALLS:
+    def _forward(self, request: Request) -> Response:
+        if self._in_flight >= MAX_CALLS:
             raise Refusal(ErrorKind.overloaded, 'too many calls are carried')
-        request.body_limit = MOST_BODY_BYTES
+        request.body_limit = MAX_BODY_BYTES
         target = request.target.removeprefix(RELAY_PATH)
         headers = [('Host', self._calls.address), ('Content-Type', JSON_TYPE)]
         body = request.read_body()
         raw = make_request(request.method, target, headers, body)
         with ExitStack() as stack:
-            self._in_hand += 1
+            self._in_flight += 1
             stack.callback(self._release)
             called = self._pool.call(
                 self._calls.address,
@@ -74,54 +78,59 @@
                 LONGEST_CALL_SECONDS,
             )
         if isinstance(called, Err):
-            # Neither success nor a promise: what was sent may take effect.
+            # The outcome is unknown: the call may still take effect.
             return Response(HTTPStatus.BAD_GATEWAY, b'{}', JSON_TYPE)
         reply = called.ok_value
         return Response(reply.status, reply.body, JSON_TYPE)
 
     def _release(self) -> None:
-        self._in_hand -= 1
+        self._in_flight -= 1
 
 
 class Relays:
-    """Knows the processes that would carry calls to the store."""
+    """Tracks the workers that offer to relay calls to the store."""
 
     def __init__(self, port: int, draw: random.Random) -> None:
-        """Know none yet; all of them listen at the same port of their VMs."""
+        """Start without offers.
+
+        :param port: port on which workers listen on every VM.
+        :param draw: source of randomness.
+        """
         self._port = port
-        self._draw = draw
-        self._offered: dict[str, float] = {}
+        self._rng = draw
+        self._offered_at: dict[str, float] = {}
 
     def note(self, host: str, *, has_store: bool) -> None:
-        """Take in what a process told.
+        """Record the report of a worker.
 
         :param host: address of its VM.
-        :param has_store: whether the store answers it.
+        :param has_store: whether the store answers the worker.
         """
         if has_store:
-            self._offered[host] = time.monotonic()
+            self._offered_at[host] = time.monotonic()
         else:
-            self._offered.pop(host, None)
+            self._offered_at.pop(host, None)
 
     def find(self) -> Way | None:
-        """Choose who carries a call.
+        """Choose a worker that relays a call.
 
-        :returns: the way by one of those who offered it lately, or ``None``.
+        :returns: the way through a random worker with a recent offer, or
+            ``None``.
         """
         addresses = self.list_addresses()
         if not addresses:
             return None
-        return Way(self._draw.choice(addresses), RELAY_PATH)
+        return Way(self._rng.choice(addresses), RELAY_PATH)
 
     def list_addresses(self) -> list[str]:
-        """List the processes that the store answers.
+        """List the workers that the store answers.
 
-        :returns: ``host:port`` of each that told so lately.
+        :returns: ``host:port`` of each worker with a recent offer.
         """
-        oldest = time.monotonic() - TRUST_SECONDS
-        self._offered = {
-            host: told_at
-            for host, told_at in self._offered.items()
-            if told_at > oldest
+        oldest = time.monotonic() - OFFER_SECONDS
+        self._offered_at = {
+            host: offered_at
+            for host, offered_at in self._offered_at.items()
+            if offered_at > oldest
         }
-        return [f'{host}:{self._port}' for host in self._offered]
+        return [f'{host}:{self._port}' for host in self._offered_at]
--- a/src/wigeonpier/hosted/retire.py
+++ b/src/wigeonpier/hosted/retire.py
@@ -1,4 +1,4 @@
-"""Orders of the operator to empty a VM with a disk."""
+"""Handles the operator's orders to retire a VM with a disk."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     from wigeonpier.platform.view import ViewFactory
 
 PAUSE_SECONDS = 0.5
-# Who has the disk answers for it first.
-OTHERS_SECONDS = 2.0
+# Delay of other processes, so that the one with the disk confirms first.
+OTHERS_DELAY_SECONDS = 2.0
 
 
 class RetireHandler:
-    """Confirms that a VM's disk holds nothing any more."""
+    """Confirms that the disk of a VM is empty."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         disk: Membership,
         make_view: ViewFactory,
     ) -> None:
-        """Follow the orders once started."""
+        """Watch the orders once started."""
         self._name = name
         self._ledger = ledger
         self._intake = intake
@@ -47,7 +47,7 @@
         self._view = make_view(RETIRE_ORDERS, self._apply)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to watch."""
         self._view.start()
 
     def _apply(self, change: Change) -> None:
@@ -58,7 +58,9 @@
             self._disk.is_wanted = False
             gevent.spawn(self._confirm_own, change.key)
         else:
-            gevent.spawn_later(OTHERS_SECONDS, self._confirm_other, change.key)
+            gevent.spawn_later(
+                OTHERS_DELAY_SECONDS, self._confirm_other, change.key
+            )
 
     def _confirm_own(self, order: str) -> None:
         while not self._intake.is_empty:
@@ -66,7 +68,7 @@
         self._confirm(order)
 
     def _confirm_other(self, order: str) -> None:
-        """Confirm for a VM on which no process keeps anything."""
+        """Confirm for a VM on which no process stores jobs."""
         vm = order.removeprefix(RETIRE_ORDERS)
         while True:
             read = self._ledger.read_board()
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -1,4 +1,4 @@
-"""Builders of a small site on loopback with stand-ins of the platform."""
+"""Builders of a small site on loopback with a simulated platform."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
 HOST = 'site.example'
 SERVICE = 'assistant'
 DATA_CENTRE = 'suva-a'
-PATIENCE_SECONDS = 10.0
-STEP_SECONDS = 0.02
+TIMEOUT_SECONDS = 10.0
+POLL_SECONDS = 0.02
 DISKS = 3
 FIRST_VM = 2
 QUOTA_SLACK = 4
@@ -132,8 +132,8 @@
 
 
 def make_open_job(name: str = 'j', **changes: Any) -> OpenJob:
-    """Make a job as the board shows it."""
-    known = {
+    """Make a job as stored on the board."""
+    fields = {
         'name': name,
         'route': 'rjobs',
         'host': HOST,
@@ -145,11 +145,11 @@
         'tokens': 100,
         'owners': (),
     }
-    return OpenJob(**(known | changes))
+    return OpenJob(**(fields | changes))
 
 
 def make_question(*, waited: float = 0, has_begun: bool = False) -> Question:
-    """Make a resumable question that came some seconds ago."""
+    """Make a resumable request that arrived some seconds ago."""
     now = time.monotonic()
     content = msgspec.json.encode(make_configuration())
     route = decode_configuration(content).routes[0]
@@ -167,7 +167,7 @@
 
 
 def make_sender(states: list[UpstreamState]) -> QuestionSender:
-    """Make a sender before these upstreams; each one sets a slot aside."""
+    """Make a sender for these upstreams; each one grants a slot."""
     draw = random.Random(1)
     pool = ConnectionPool()
     replicas = SimpleNamespace(
@@ -200,17 +200,17 @@
     return QuestionSender(binder, pool)
 
 
-def wait_for(is_so: Callable[[], object], what: str) -> None:
-    """Wait until something holds; fail by its name after a while."""
-    give_up = time.monotonic() + PATIENCE_SECONDS
-    while not is_so():
-        assert time.monotonic() < give_up, f'never: {what}'
-        gevent.sleep(STEP_SECONDS)
+def wait_for(condition: Callable[[], object], what: str) -> None:
+    """Wait for a condition; fail with its description after a time-out."""
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while not condition():
+        assert time.monotonic() < deadline, f'timed out waiting until {what}'
+        gevent.sleep(POLL_SECONDS)
 
 
 @dataclass
 class HostedSite:
-    """A site: a store, replicas with workers, entries, one dealer."""
+    """A site: a store, replicas with workers, entries and disks."""
 
     store: StandInStore = field(default_factory=StandInStore)
     pool: ConnectionPool = field(default_factory=ConnectionPool)
@@ -251,7 +251,7 @@
         )
 
     def stop(self) -> None:
-        """Stop everything that listens, and all greenlets since."""
+        """Stop all listeners, and all greenlets of the site."""
         for app in self.entries:
             app._callers.stop()
             app._balancer.stop()
@@ -265,7 +265,7 @@
         gevent.killall(self.greenlets, timeout=1)
 
     def add_replica(self, name: str, **shape: Any) -> StandInReplica:
-        """Start a replica with the worker beside it."""
+        """Start a replica and its worker."""
         replica = StandInReplica(name, SERVICE, self.store, **shape)
         host = f'127.0.0.{FIRST_VM + len(self.replicas)}'
         replica.start(DATA_CENTRE, host)
@@ -321,7 +321,7 @@
         )
 
     def list_members(self) -> list[str]:
-        """List who runs items."""
+        """List the workers that run items."""
         return self.store.list_keys('wigeonpier/hosted/board/members/')
 
     def call(
@@ -334,7 +334,7 @@
         entry: int = 0,
         **headers: str,
     ) -> Reply:
-        """Call an entry and read its whole answer."""
+        """Call an entry and read its complete answer."""
         given = (method, target, identity, body)
         return self.try_call(*given, entry=entry, **headers).unwrap()
 
@@ -348,7 +348,7 @@
         entry: int = 0,
         **headers: str,
     ) -> Result[Reply, CallFailure]:
-        """Call an entry; its answer may break off."""
+        """Call an entry; its answer may be truncated."""
         listed = [('Host', HOST), ('X-Deadline-Ms', '5000')]
         if identity:
             listed.append(('X-Attempt-Id', identity))
@@ -356,7 +356,7 @@
             (name.replace('_', '-'), text) for name, text in headers.items()
         ]
         raw = make_request(method, target, listed, body)
-        return self.pool.call(self.addresses[entry], raw, PATIENCE_SECONDS)
+        return self.pool.call(self.addresses[entry], raw, TIMEOUT_SECONDS)
 
     def hand_in(
         self,
@@ -368,7 +368,7 @@
         item_headers: Mapping[str, str] = NO_BODIES,
         **headers: str,
     ) -> Reply:
-        """Hand in a job; some items may have a body of their own."""
+        """Submit a job; some items may have their own body."""
         content = {
             'items': [
                 {
@@ -393,7 +393,7 @@
         return msgspec.json.decode(reply.body)
 
     def wait_for_results(self, job: str, count: int) -> list[dict[str, Any]]:
-        """Wait until a job has so many results."""
+        """Wait until a job has at least a number of results."""
         wait_for(
             lambda: len(self.read_results(job)['results']) >= count,
             f'{count} results of {job}',
--- a/tests/hosted/callers.py
+++ b/tests/hosted/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a hosted site that come back as those of the platform do."""
+"""Callers of a hosted site that retry as those of the platform do."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 DEADLY_BODY = b'%s one' % DEADLY_MARK
 OK = 200
-# An answer that broke off.
+# A truncated answer.
 BROKEN = Reply(0, b'')
-# A caller never comes back after these.
+# A caller does not retry after these.
 FINAL = frozenset((OK, 400, 401, 404, 413, 431))
 COME_BACK_SECONDS = 0.2
 PAUSE_SECONDS = 0.5
-ASK_SECONDS = 0.05
+REQUEST_INTERVAL_SECONDS = 0.05
 ATTEMPTS = 2
-PATIENCE_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 @dataclass
 class RepeatingCaller:
-    """Comes back with one request, each time at the next entry."""
+    """Retries one request, each time at the next entry."""
 
     site: HostedSite = field(repr=False)
     body: bytes
@@ -37,9 +37,9 @@
     replies: list[Reply] = field(default_factory=list)
 
     def repeat_for(self, seconds: float) -> None:
-        """Ask twice, pause, and ask again, until the time is up."""
-        give_up = time.monotonic() + seconds
-        while time.monotonic() < give_up:
+        """Send two attempts, pause, and repeat until the time is up."""
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             for _attempt in range(ATTEMPTS):
                 if self.ask().status in FINAL:
                     break
@@ -47,7 +47,7 @@
             gevent.sleep(PAUSE_SECONDS)
 
     def ask(self) -> Reply:
-        """Ask once, under an id of its own."""
+        """Send the request once, under a new id."""
         number = len(self.replies)
         reply = self.site.try_call(
             'POST',
@@ -60,9 +60,9 @@
         return reply
 
     def repeat_until_refused(self) -> None:
-        """Ask until the answer is one that nobody comes back after."""
-        give_up = time.monotonic() + PATIENCE_SECONDS
-        while time.monotonic() < give_up:
+        """Send the request until a final answer arrives."""
+        deadline = time.monotonic() + TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             if self.ask().status in FINAL:
                 return
             gevent.sleep(COME_BACK_SECONDS)
@@ -75,22 +75,22 @@
 
 @dataclass
 class OtherCallers:
-    """Ask for something else all the while; each comes back once."""
+    """Send other requests meanwhile; each is retried once."""
 
     site: HostedSite = field(repr=False)
     whole: int = 0
     failed: list[tuple[str, list[int]]] = field(default_factory=list)
 
     def ask_for(self, seconds: float) -> None:
-        """Ask again and again until the time is up, and wait for the last."""
-        give_up = time.monotonic() + seconds
-        asking = []
-        while time.monotonic() < give_up:
-            asking.append(gevent.spawn(self._ask, len(asking)))
-            gevent.sleep(ASK_SECONDS)
-        gevent.joinall(asking)
-
-    def _ask(self, number: int) -> None:
+        """Send requests until the time is up, and wait for the last answers."""
+        deadline = time.monotonic() + seconds
+        requests = []
+        while time.monotonic() < deadline:
+            requests.append(gevent.spawn(self._send, len(requests)))
+            gevent.sleep(REQUEST_INTERVAL_SECONDS)
+        gevent.joinall(requests)
+
+    def _send(self, number: int) -> None:
         statuses = []
         for attempt in range(ATTEMPTS):
             identity = f'o{number}-{attempt}'
--- a/tests/hosted/conftest.py
+++ b/tests/hosted/conftest.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def site() -> Iterator[HostedSite]:
-    """Make a site; each test starts it as it needs."""
+    """Make a site; each test starts it with its own parameters."""
     made = HostedSite()
     gevent.Greenlet.add_spawn_callback(made.greenlets.append)
     yield made
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -1,4 +1,4 @@
-"""Processes that lost the store, and what they believe when it is back."""
+"""Processes that lose the store, and their state after its return."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 def _lose_store(site: HostedSite) -> None:
-    """Cut the store off, and wait until the entry knows."""
+    """Stop the store, and wait until the entry has detected it."""
     site.store.faults.is_down = True
     contact = site.entries[0]._common.contact
     contact.ask()
     wait_for(lambda: contact.is_lost, 'the loss is known')
 
 
-def test_the_first_answer_wakes_every_view(site: HostedSite) -> None:
-    """What changed meanwhile is known within the time for being blind.
+def test_first_answer_wakes_all_views(site: HostedSite) -> None:
+    """Changes during the outage are known within ``longest_blind``.
 
-    With a pause of its own each view was blind for up to 0.9 s, and one whose
-    pause had doubled to 5 s for 7.5 s.
+    When each view paused by itself, it was outdated for up to 0.9 s, and for
+    7.5 s after its pause had doubled to 5 s.
     """
     site.start(replicas=1)
     entry = site.entries[0]
@@ -43,22 +43,22 @@
     gevent.sleep(2)
     site.store.remove(name_replica('i-0'))
     site.store.faults.is_down = False
-    returned = time.monotonic()
+    returned_at = time.monotonic()
     wait_for(
         lambda: not entry._replicas.view.entries,
         'the register is read again',
     )
     plan = entry._common.contact.plan
-    assert time.monotonic() - returned < plan.longest_blind + 0.2
+    assert time.monotonic() - returned_at < plan.longest_blind + 0.2
 
 
-def test_what_left_during_a_cut_gets_nothing_after_the_time_allowed(
+def test_replica_removed_during_outage_is_dropped_in_time(
     site: HostedSite,
 ) -> None:
-    """A replica that was removed from the register, not one that lapsed.
+    """The replica was removed from the register; its lease did not expire.
 
-    Kept for 2.4 s after the register had been read again, it got questions
-    3.2 s after an entry was back.
+    When it was kept for 2.4 s after the register had been read again, it
+    received requests 3.2 s after the store was back for the entry.
     """
     site.start(replicas=2)
     entry = site.entries[0]
@@ -67,14 +67,14 @@
     gevent.sleep(1)
     site.store.remove(name_replica('i-0'))
     site.store.faults.is_down = False
-    returned = time.monotonic()
+    returned_at = time.monotonic()
     assert 'i-0' in entry._replicas.upstreams
     wait_for(
         lambda: 'i-0' not in entry._replicas.upstreams,
         'it is routed to no more',
     )
-    held = time.monotonic() - returned
-    assert 2.0 < held < entry._common.settings.bounds.contact
+    kept_seconds = time.monotonic() - returned_at
+    assert 2.0 < kept_seconds < entry._common.settings.bounds.contact
 
 
 def _count_calls(site: HostedSite, path: str) -> float:
@@ -87,44 +87,47 @@
     )
 
 
-def test_an_outage_costs_one_question_at_a_time(site: HostedSite) -> None:
-    """All views wait for the same answer, and none of them calls itself."""
+def test_outage_costs_one_probe_at_a_time(site: HostedSite) -> None:
+    """All views wait for the same answer, and none makes calls itself."""
     site.start(replicas=1)
     site.store.compact()
     _lose_store(site)
     gevent.sleep(1)
     watched = (wire.RANGE_PATH, wire.WATCH_PATH)
     views = [_count_calls(site, path) for path in watched]
-    asked = _count_calls(site, wire.KEY_PATH)
+    calls_before = _count_calls(site, wire.KEY_PATH)
     gevent.sleep(1)
     assert [_count_calls(site, path) for path in watched] == views
     plan = site.entries[0]._common.contact.plan
     most = 1 / (plan.pause * SPREAD[0]) + 1
-    assert 1 <= _count_calls(site, wire.KEY_PATH) - asked <= most
+    assert 1 <= _count_calls(site, wire.KEY_PATH) - calls_before <= most
 
 
-def _silence_workers(site: HostedSite) -> None:
+def _close_worker_feeds(site: HostedSite) -> None:
     for worker in site.workers:
         worker._feed.is_closed = True
 
 
-def _cut_entry_off(site: HostedSite) -> None:
-    """Silence all that the entry hears, and wait until it knows."""
+def _isolate_entry(site: HostedSite) -> None:
+    """Isolate the entry from store and workers, and wait until it knows."""
     site.store.faults.is_down = True
-    _silence_workers(site)
+    _close_worker_feeds(site)
     wait_for(lambda: not site.entries[0].is_ready, 'it leaves the rotation')
 
 
-def test_an_entry_that_is_cut_off_refuses_at_once(site: HostedSite) -> None:
-    """It had tried four upstreams for 1.6 s, and jobs for 2 s."""
+def test_isolated_entry_refuses_at_once(site: HostedSite) -> None:
+    """It tried four upstreams for 1.6 s, and to store jobs for 2 s.
+
+    A caller that is refused at once has time to retry at another entry.
+    """
     site.start()
     site.call('POST', '/once/1', 'q1')
-    _cut_entry_off(site)
-    began = time.monotonic()
-    asked = site.call('POST', '/once/2', 'q2')
-    handed = site.hand_in('j')
-    assert (asked.status, handed.status) == (503, 503)
-    assert time.monotonic() - began < 0.3
+    _isolate_entry(site)
+    started_at = time.monotonic()
+    answer = site.call('POST', '/once/2', 'q2')
+    submitted = site.hand_in('j')
+    assert (answer.status, submitted.status) == (503, 503)
+    assert time.monotonic() - started_at < 0.3
     assert not any(replica.runs['q2'] for replica in site.replicas)
     for worker in site.workers:
         worker._feed.is_closed = False
@@ -132,10 +135,10 @@
     assert site.call('POST', '/once/3', 'q3').status == 200
 
 
-def test_an_outage_of_the_store_keeps_entries_in_rotation(
+def test_store_outage_keeps_entries_in_rotation(
     site: HostedSite,
 ) -> None:
-    """Else all of them would leave at once."""
+    """Otherwise all of them would leave at once."""
     site.start()
     site.store.faults.is_down = True
     gevent.sleep(2)
@@ -143,19 +146,19 @@
     assert site.call('POST', '/once/1', 'q1').status == 200
 
 
-def test_workers_that_are_gone_keep_entries_in_rotation(
+def test_loss_of_workers_keeps_entries_in_rotation(
     site: HostedSite,
 ) -> None:
-    """Their upstreams may be well, and the store says that the net is."""
+    """Their upstreams may be available, and the store answers."""
     site.start()
-    _silence_workers(site)
+    _close_worker_feeds(site)
     gevent.sleep(2)
     assert site.entries[0].is_ready
     assert site.call('POST', '/once/1', 'q1').status == 200
 
 
-def _turn_entry_away(site: HostedSite) -> StoreContact:
-    """Have only the entry lose the store, as a cut of its VM does."""
+def _cut_store_from_entry(site: HostedSite) -> StoreContact:
+    """Have only the entry lose the store, as a partition of its VM does."""
     common = site.entries[0]._common
     common.store.calls.address = f'127.0.0.1:{take_port()}'
     common.pool.forget(site.store_address)
@@ -165,23 +168,23 @@
     return common.contact
 
 
-def test_a_job_is_taken_by_an_entry_that_alone_lost_the_store(
+def test_entry_that_alone_lost_store_accepts_job(
     site: HostedSite,
 ) -> None:
-    """It had been refused for as long as the caller tried."""
+    """The job was refused for as long as the caller retried."""
     site.start()
-    _turn_entry_away(site)
-    began = time.monotonic()
+    _cut_store_from_entry(site)
+    started_at = time.monotonic()
     assert site.hand_in('j').status == 202
-    assert time.monotonic() - began < 0.4
+    assert time.monotonic() - started_at < 0.4
     assert len(site.wait_for_results('j', 4)) == 4
 
 
-def test_a_configuration_reaches_an_entry_that_lost_the_store(
+def test_configuration_reaches_entry_that_lost_store(
     site: HostedSite,
 ) -> None:
     site.start()
-    contact = _turn_entry_away(site)
+    contact = _cut_store_from_entry(site)
     site.store.put('op/config', make_configuration(7))
     site.store.compact()
     entry = site.entries[0]
@@ -192,7 +195,7 @@
     assert contact.is_lost
 
 
-def test_nobody_carries_calls_to_a_store_that_is_away(
+def test_no_worker_relays_calls_to_lost_store(
     site: HostedSite,
 ) -> None:
     site.start()
@@ -204,33 +207,33 @@
     wait_for(lambda: not contact.find_detour(), 'nobody offers it')
 
 
-def test_a_watch_that_was_cut_begins_anew_with_a_read(
+def test_aborted_watch_restarts_with_read(
     site: HostedSite,
 ) -> None:
-    """Carried on from its revision, it waited for what was dropped."""
+    """Resumed at its revision, it waited for changes that were dropped."""
     site.start()
     common = site.entries[0]._common
-    _turn_entry_away(site)
+    _cut_store_from_entry(site)
     common.contact.note(0, is_answered=True)
     calls = site.store.calls.copy()
-    heard = common.store.await_changes('op/', 1, 0.1)
-    assert isinstance(heard, Err)
+    result = common.store.await_changes('op/', 1, 0.1)
+    assert isinstance(result, Err)
     assert common.contact.find_detour()
     assert site.store.calls[wire.WATCH_PATH] == calls[wire.WATCH_PATH]
 
 
-def test_a_watch_that_was_lost_in_an_outage_is_not_waited_for(
+def test_watch_lost_in_outage_is_not_awaited(
     site: HostedSite,
 ) -> None:
-    """What is never answered is silent for 17 s, long after the return.
+    """A call that is never answered waits for 17 s, long after the return.
 
-    A process beside an upstream heard of the end of a job 4.8 s late, and ran
-    its items until then.
+    A worker received the cancellation of a job 4.8 s late, and ran its items
+    until then.
     """
     site.start(replicas=1)
     entry = site.entries[0]
     gevent.sleep(0.5)
-    # The register's watch is asked for again within 0.2 s of a change.
+    # The register's watch is requested again within 0.2 s of a change.
     site.store.put(name_replica('i-0'), b'not an entry')
     wait_for(
         lambda: not entry._replicas.upstreams,
@@ -243,8 +246,8 @@
     wait_for(lambda: contact.is_lost, 'the loss is known')
     gevent.sleep(0.5)
     site.store.faults.is_deaf = False
-    returned = time.monotonic()
+    returned_at = time.monotonic()
     wait_for(lambda: not contact.is_lost, 'the return is known')
     site.replicas[0].register('suva-a')
     wait_for(lambda: entry._replicas.upstreams, 'the next change is heard of')
-    assert time.monotonic() - returned < contact.plan.longest_blind + 0.5
+    assert time.monotonic() - returned_at < contact.plan.longest_blind + 0.5
--- a/tests/hosted/test_explained.py
+++ b/tests/hosted/test_explained.py
@@ -1,4 +1,4 @@
-"""Three kinds of failed request, and their causes found from the logs alone."""
+"""Finds the causes of three kinds of failed requests from the logs alone."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def explain(tmp_path, capsys) -> Iterator[Explain]:
-    """Gather the logs of a test, and explain an id from them."""
+    """Collect the logs of a test, and explain an id from them."""
     path = tmp_path / 'log'
     with path.open('w') as log:
         configure_logs('site', 'info', log)
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def site(explain: Explain) -> Iterator[HostedSite]:
-    """Make a site whose logs are gathered."""
+    """Make a site whose logs are collected."""
     made = HostedSite()
     gevent.Greenlet.add_spawn_callback(made.greenlets.append)
     made.start()
@@ -50,7 +50,7 @@
     return [line for line in lines if f' {event} ' in line]
 
 
-def test_a_refused_question_tells_who_turned_it_away(site, explain) -> None:
+def test_refused_request_names_refusing_upstreams(site, explain) -> None:
     for replica in site.replicas:
         replica.faults.turn_away = 9
     assert site.call('POST', '/ask/1', 'q1', b'{}').status == 503
@@ -60,12 +60,12 @@
         assert f"'upstream': '{replica.name}'" in done
     assert done.count("'outcome': 'turned away'") == len(site.replicas)
     assert 'outcome=Refusal' in done
-    # The beliefs that it rested on: who was known, under which configuration.
+    # The state that it was based on: known upstreams, and the configuration.
     assert len(find_lines(lines, 'upstream_added')) >= len(site.replicas)
     assert find_lines(lines, 'configuration_applied')
 
 
-def test_an_answer_that_broke_off_tells_where_and_why(site, explain) -> None:
+def test_truncated_answer_names_cause(site, explain) -> None:
     for replica in site.replicas:
         replica.faults.break_after = 9
     called = site.pool.call(
@@ -83,7 +83,7 @@
     assert not find_lines(lines, 'stream_resumed')
 
 
-def test_an_abandoned_item_tells_that_its_runs_failed(site, explain) -> None:
+def test_abandoned_item_shows_failed_runs(site, explain) -> None:
     for replica in site.replicas:
         replica.faults.fail = 9
     site.hand_in('j3', 1)
@@ -98,7 +98,7 @@
     assert find_lines(explain('j3'), 'job_accepted')
 
 
-def test_a_line_is_json_with_a_number(site, tmp_path) -> None:
+def test_log_line_is_json_with_number(site, tmp_path) -> None:
     site.call('POST', '/nowhere/1', 'q4')
     lines = (tmp_path / 'log').read_text().splitlines()
     assert lines
--- a/tests/hosted/test_replaced_upstream.py
+++ b/tests/hosted/test_replaced_upstream.py
@@ -1,9 +1,9 @@
-"""Batch items whose upstream refuses them, first of all as another instance.
+"""Batch items that are refused by their upstream, mostly as another instance.
 
-The entry of an earlier start may outlive it: a write that took effect late,
-or a store that was away when the entry should have lapsed.  The process beside
-the upstream went on to send items to the earlier start, all of which were
-refused, without a limit and for as long as that entry stood.
+The entry of an earlier start may outlive it, by a write that took effect late
+or an outage of the store when the entry should have expired.  The worker sent
+items to the earlier start, all of which were refused, without a limit and for
+as long as that entry existed.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 MANY_ITEMS = 60
 SECONDS = 2.0
 # Five rounds of one attempt for each slot.
-REFUSALS = 40
+MAX_REFUSALS = 40
 
 
 def leave_stale_entry(site: HostedSite, replica: StandInReplica) -> None:
-    """Have the register show an earlier start that never lapses."""
+    """Replace the register's entry by that of an earlier start."""
     site.store.remove(name_replica(replica.name))
     replica.name = 'earlier'
     replica.register(DATA_CENTRE)
@@ -40,7 +40,7 @@
     )
 
 
-def test_items_run_at_the_start_that_answers(site: HostedSite) -> None:
+def test_items_run_at_answering_start(site: HostedSite) -> None:
     site.start(replicas=1)
     replica = site.replicas[0]
     leave_stale_entry(site, replica)
@@ -51,10 +51,10 @@
     assert {found['state'] for found in results} == {'completed'}
 
 
-def test_items_move_where_the_register_shows_no_other_start(
+def test_items_move_if_register_lists_no_other_start(
     site: HostedSite,
 ) -> None:
-    """The items of one upstream go to the other."""
+    """The items of one upstream move to the other."""
     site.start(replicas=2)
     replica = site.replicas[0]
     leave_stale_entry(site, replica)
@@ -66,29 +66,29 @@
 
 
 def test_refused_items_do_not_flood_the_upstream(site: HostedSite) -> None:
-    """Nobody else can run them."""
+    """No other upstream can run them."""
     site.start(replicas=1)
     replica = site.replicas[0]
     replica.faults.turn_away = 1_000_000
     assert site.hand_in('j', MANY_ITEMS).status == 202
     gevent.sleep(SECONDS)
-    assert 1_000_000 - replica.faults.turn_away < REFUSALS
+    assert 1_000_000 - replica.faults.turn_away < MAX_REFUSALS
     replica.faults.turn_away = 0
     assert len(site.wait_for_results('j', MANY_ITEMS)) == MANY_ITEMS
 
 
-def test_items_move_from_an_upstream_that_refuses_them_all(
+def test_items_move_from_upstream_that_refuses_all(
     site: HostedSite,
 ) -> None:
-    """It reports free slots, and answers 503 to whatever is sent."""
+    """It reports free slots, and answers 503 to all requests."""
     site.start(replicas=2)
     site.replicas[0].faults.turn_away = 1_000_000
     assert site.hand_in('j', MANY_ITEMS).status == 202
     assert len(site.wait_for_results('j', MANY_ITEMS)) == MANY_ITEMS
 
 
-def test_an_upstream_that_is_full_keeps_its_items(site: HostedSite) -> None:
-    """Its report shows that questions hold the slots."""
+def test_full_upstream_keeps_its_items(site: HostedSite) -> None:
+    """Its report shows that online requests occupy the slots."""
     site.start(replicas=2)
     replica = site.replicas[0]
     replica.faults.turn_away = 1_000_000
--- a/tests/hosted/test_signals.py
+++ b/tests/hosted/test_signals.py
@@ -1,4 +1,4 @@
-"""The real program as a process of its own, and signals to it."""
+"""Signals to the hosted daemon, run as a process."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 address = "127.0.0.1:1"
 historyS = 20
 """
-PATIENCE_SECONDS = 10
+TIMEOUT_SECONDS = 10
 
 
 @pytest.fixture
 def entry(tmp_path) -> Iterator[subprocess.Popen[str]]:
-    """Start an entry whose store is away."""
+    """Start an entry whose store is down."""
     path = tmp_path / 'settings.toml'
     ports = {
         name: take_port()
@@ -58,17 +58,17 @@
 
 
 def await_line(process: subprocess.Popen[str], event: str) -> str:
-    """Read lines until one names an event."""
+    """Read log lines until one contains an event."""
     assert process.stdout is not None
-    give_up = time.monotonic() + PATIENCE_SECONDS
-    while time.monotonic() < give_up:
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
         line = process.stdout.readline()
         if event in line:
             return line
     raise AssertionError(f'no {event}')
 
 
-def test_hup_reads_settings_anew_and_ends_nothing(entry, tmp_path) -> None:
+def test_hup_reloads_settings_without_restart(entry, tmp_path) -> None:
     await_line(entry, 'process_started')
     path = tmp_path / 'settings.toml'
     path.write_text(path.read_text().replace('127.0.0.1:1"', '127.0.0.1:2"'))
@@ -80,8 +80,8 @@
     assert entry.poll() is None
 
 
-def test_term_drains_and_ends_well(entry) -> None:
+def test_term_drains_and_exits_with_zero(entry) -> None:
     await_line(entry, 'process_started')
     entry.send_signal(signal.SIGTERM)
     await_line(entry, 'process_stopped')
-    assert entry.wait(PATIENCE_SECONDS) == 0
+    assert entry.wait(TIMEOUT_SECONDS) == 0
--- a/tests/hosted/test_views.py
+++ b/tests/hosted/test_views.py
@@ -29,22 +29,22 @@
         """Begin with no results."""
         self.results: list[PlacedResult] = []
         self.delay = 0.0
-        self.reads = 0
-        self.is_down = False
+        self.looks = 0
+        self.is_away = False
 
     def read_job(self, name: str) -> Ok | Err:
-        self.reads += 1
+        self.looks += 1
         gevent.sleep(self.delay)
-        if self.is_down:
+        if self.is_away:
             return Err(Failure.unavailable)
         if name != 'j':
             return Ok(None)
         return Ok(StoredJob(HEAD, list(self.results), len(self.results) + 1))
 
     def await_results(self, _job, revision: int, wait: float) -> Ok | Err:
-        self.reads += 1
+        self.looks += 1
         gevent.sleep(self.delay)
-        if self.is_down:
+        if self.is_away:
             return Err(Failure.unavailable)
         fresh = self.results[revision - 1 :]
         if not fresh:
@@ -101,7 +101,7 @@
     view = views.find('j')
     for _reader in range(5):
         views.look(view, 0, 0)
-    assert ledger.reads == 1
+    assert ledger.looks == 1
 
 
 def test_reader_from_start_gets_later_results(views, ledger) -> None:
@@ -118,7 +118,7 @@
     ledger.results = [build_result(0)]
     view = views.find('j')
     views.look(view, 0, 0)
-    ledger.is_down = True
+    ledger.is_away = True
     view.looked_at -= 9
     views.look(view, 0, 0)
     assert len(view.results) == 1
@@ -141,4 +141,4 @@
     view = views.find('j')
     views.look(view, 0, 1.0)
     assert len(view.results) == 1
-    assert ledger.reads == 1
+    assert ledger.looks == 1
--- a/tests/hosted/test_whole_path.py
+++ b/tests/hosted/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Questions and jobs through the real daemons, over loopback."""
+"""Requests and jobs through the real daemons, over loopback."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from tests.hosted.builders import HostedSite
 
 
-def test_question_is_streamed_whole(site: HostedSite) -> None:
+def test_answer_is_streamed_completely(site: HostedSite) -> None:
     site.start()
     reply = site.call('POST', '/ask/1', 'q1', b'{}')
     assert reply.status == 200
@@ -39,7 +39,7 @@
     assert site.call('POST', '/nowhere/1', 'q2').status == 503
 
 
-def test_resumable_stream_goes_on_elsewhere(site: HostedSite) -> None:
+def test_resumable_stream_resumes_at_other_upstream(site: HostedSite) -> None:
     site.start()
     for replica in site.replicas:
         replica.faults.break_after = 1
@@ -62,7 +62,7 @@
     assert sum(replica.runs['q1'] for replica in site.replicas) == 1
 
 
-def test_request_turned_away_runs_elsewhere(site: HostedSite) -> None:
+def test_refused_request_runs_at_other_upstream(site: HostedSite) -> None:
     site.start()
     site.replicas[0].faults.turn_away = 1
     site.replicas[1].faults.turn_away = 0
@@ -70,7 +70,7 @@
         assert site.call('POST', '/once/1', f'q{number}').status == 200
 
 
-def test_refusal_says_not_run_where_all_turned_away(site: HostedSite) -> None:
+def test_request_refused_by_all_is_not_run(site: HostedSite) -> None:
     site.start()
     for replica in site.replicas:
         replica.faults.turn_away = 9
@@ -78,7 +78,7 @@
     assert not any(replica.runs['q1'] for replica in site.replicas)
 
 
-def test_plain_answer_is_passed_on_whole(site: HostedSite) -> None:
+def test_plain_answer_is_forwarded_unchanged(site: HostedSite) -> None:
     """Not every answer of an upstream is an event stream."""
     site.start()
     site.replicas[0].faults.impossible.add('q1')
@@ -87,7 +87,7 @@
     assert (reply.status, reply.body) == (422, b'{}')
 
 
-def test_leaving_upstream_gets_nothing_new(site: HostedSite) -> None:
+def test_leaving_upstream_gets_no_new_requests(site: HostedSite) -> None:
     site.start()
     site.replicas[0].is_leaving = True
     site.replicas[0].register('suva-a')
@@ -135,14 +135,16 @@
     assert runs == 4
 
 
-def test_lost_answer_of_the_store_accepts_once(site: HostedSite) -> None:
+def test_job_is_accepted_once_despite_lost_store_answer(
+    site: HostedSite,
+) -> None:
     site.start()
     site.store.faults.lost_writes = 1
     assert site.hand_in('j').status == 202
     assert len(site.wait_for_results('j', 4)) == 4
 
 
-def test_job_is_accepted_while_the_store_is_away(site: HostedSite) -> None:
+def test_job_is_accepted_while_store_is_down(site: HostedSite) -> None:
     site.start(entries=2)
     site.store.faults.is_down = True
     assert site.hand_in('j').status == 202
@@ -160,7 +162,9 @@
     assert runs == 4
 
 
-def test_too_few_disks_refuse_and_keep_nothing(site: HostedSite) -> None:
+def test_job_is_refused_and_not_stored_on_too_few_disks(
+    site: HostedSite,
+) -> None:
     site.start()
     site.entries[0]._holder.board.disks.clear()
     site.store.faults.is_down = True
@@ -169,7 +173,7 @@
     assert site.call('GET', '/-/lots/j?after=0').status == 404
 
 
-def test_one_copy_is_not_enough_and_nothing_is_claimed(
+def test_single_copy_is_answered_as_unknown_outcome(
     site: HostedSite,
 ) -> None:
     site.start()
@@ -179,7 +183,7 @@
     assert site.hand_in('j').status == 502
 
 
-def test_a_disk_is_emptied_before_it_is_retired(site: HostedSite) -> None:
+def test_disk_is_emptied_before_it_is_retired(site: HostedSite) -> None:
     site.start()
     site.store.faults.is_down = True
     assert site.hand_in('j').status == 202
@@ -194,7 +198,7 @@
     assert len(site.wait_for_results('j', 4)) == 4
 
 
-def test_body_is_given_and_unknown_job_is_404(site: HostedSite) -> None:
+def test_body_is_returned_and_unknown_job_is_404(site: HostedSite) -> None:
     site.start()
     site.hand_in('j')
     assert site.call('GET', '/-/items/j?id=j1').body == b'{}'
@@ -202,7 +206,7 @@
     assert site.call('GET', '/-/lots/none?after=0').status == 404
 
 
-def test_ended_job_stops(site: HostedSite) -> None:
+def test_cancelled_job_stops(site: HostedSite) -> None:
     site.start(event_seconds=0.3)
     site.hand_in('j', 4)
     wait_for(
@@ -229,7 +233,7 @@
     assert sum(replica.runs['j0'] for replica in site.replicas) == 1
 
 
-def test_item_that_always_fails_is_abandoned_after_its_tries(
+def test_failing_item_is_abandoned_after_its_attempts(
     site: HostedSite,
 ) -> None:
     site.start(replicas=1)
@@ -240,7 +244,7 @@
     assert site.replicas[0].runs['j0'] == 3
 
 
-def test_items_of_a_lost_worker_run_elsewhere(site: HostedSite) -> None:
+def test_items_of_lost_worker_run_at_other_upstream(site: HostedSite) -> None:
     site.start(event_seconds=0.2)
     site.hand_in('j', 6)
     wait_for(
@@ -253,7 +257,7 @@
     assert {found['state'] for found in results} == {'completed'}
 
 
-def test_quota_refuses_what_does_not_fit(site: HostedSite) -> None:
+def test_quota_refuses_excess_items(site: HostedSite) -> None:
     site.start(event_seconds=0.2)
     routes = [make_route_entry('batch_run', '/jobs/', maxCount=200)]
     site.store.put('op/config', make_configuration(2, routes=routes))
@@ -265,7 +269,7 @@
     assert site.hand_in('k', 4).status == 202
 
 
-def test_history_that_is_gone_loses_nothing(site: HostedSite) -> None:
+def test_compacted_history_loses_no_results(site: HostedSite) -> None:
     site.start()
     site.hand_in('j', 4)
     site.store.compact()
@@ -274,17 +278,17 @@
     site.wait_for_results('k', 4)
 
 
-def test_a_leaving_entry_takes_nothing_that_it_cannot_finish(
+def test_leaving_entry_refuses_requests_it_cannot_finish(
     site: HostedSite,
 ) -> None:
-    """Kept connections bring requests long after the listener is closed."""
+    """Keep-alive connections send requests after the listener is closed."""
     site.start(event_seconds=0.3)
-    kept = site.pool
+    pool = site.pool
     assert site.call('POST', '/ask/0', 'q0').status == 200
     leaving = gevent.spawn(site.entries[0].leave, 8)
     gevent.sleep(2.2)
     in_hand = gevent.spawn(site.call, 'POST', '/ask/1', 'q1')
-    opened = kept.begin(site.addresses[0], 1).unwrap()
+    opened = pool.begin(site.addresses[0], 1).unwrap()
     gevent.sleep(0.8)
     request = make_request(
         'POST', '/ask/2', [('Host', HOST), ('X-Attempt-Id', 'q2')]
@@ -297,10 +301,10 @@
     assert not any(replica.runs['q2'] for replica in site.replicas)
 
 
-def test_an_address_with_another_instance_is_not_tried_again(
+def test_address_of_another_instance_is_not_retried(
     site: HostedSite,
 ) -> None:
-    """Replicas restart faster than the register tells."""
+    """Replicas restart faster than the register shows."""
     site.start(replicas=1)
     site.replicas[0].name = 'i-9'
     assert site.call('POST', '/once/1', 'q1').status == 503
@@ -314,12 +318,12 @@
     assert site.call('POST', '/once/1', 'q2').status == 200
 
 
-def test_old_jobs_are_removed_and_young_ones_stay(site: HostedSite) -> None:
+def test_only_old_jobs_are_removed(site: HostedSite) -> None:
     site.start()
     site.hand_in('old', 4)
     site.wait_for_results('old', 4)
     janitor = site.disks[0]._janitor
-    # A VM whose time of day was ahead removed each job that it saw.
+    # A VM whose wall clock was ahead removed each job that it read.
     ahead = 2 * time.time()
     janitor.sweep(ahead)
     janitor.sweep(ahead + 60)
@@ -332,10 +336,10 @@
     ]
 
 
-def test_a_body_is_found_that_an_old_read_does_not_know(
+def test_body_missing_in_stale_read_is_found(
     site: HostedSite,
 ) -> None:
-    """Items never change: an old read is enough where it has them."""
+    """Items never change, so that a stale read that has them is enough."""
     site.start()
     site.store.keep_old()
     assert site.hand_in('j').status == 202
@@ -343,11 +347,11 @@
     site.wait_for_results('j', 4)
 
 
-def test_who_seems_to_be_gone_in_an_old_read_keeps_its_items(
+def test_member_missing_in_stale_read_keeps_its_items(
     site: HostedSite,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A member that joined since is looked for again before items move."""
+    """The members are read again before items move."""
     monkeypatch.setattr(dealer, 'SWEEP_SECONDS', 0.01)
     monkeypatch.setattr(dealer, 'RETURN_SECONDS', 0)
     site.start(replicas=1)
