--- a/src/wigeonpier/disk/client.py
+++ b/src/wigeonpier/disk/client.py
@@ -222,7 +222,7 @@
         path: str,
         body: bytes,
         headers: dict[str, str],
-        patience: float,
+        timeout: float,
     ) -> Result[Reply, DiskFailure]:
         address = self._find_address(incarnation)
         if address is None:
@@ -233,7 +233,7 @@
             path,
             body,
             headers=headers | {routes.INCARNATION: incarnation},
-            patience=patience,
+            patience=timeout,
         )
         failure: DiskFailure | None = DiskFailure.unreachable
         if isinstance(called, Ok):
--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -40,7 +40,7 @@
         self,
         store: KeyValueStore,
         plan: OutagePlan,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         """Track the calls of a store; probe it once started."""
         self.plan = plan
@@ -52,7 +52,7 @@
         self._answered_until = self._answered_at
         self._lost_at: float = 0
         self._store = store
-        self._rng = draw
+        self._rng = rng
         # Finds a process that relays calls to the store; none until it is set.
         self.find_relay: Callable[[], Way | None] = lambda: None
         self._unreachable = Signal()
@@ -63,7 +63,7 @@
 
     @property
     def is_lost(self) -> bool:
-        """Check whether the store is lost to this process."""
+        """Check whether the last call that was started got no answer."""
         return self._unreachable.is_set()
 
     def has_answered_since(self, moment: float) -> bool:
--- a/src/wigeonpier/hosted/relay.py
+++ b/src/wigeonpier/hosted/relay.py
@@ -30,7 +30,7 @@
     from wigeonpier.web.pool import ConnectionPool
 
 RELAY_PATH = '/relay'
-# Includes waiting watches; an entry has about four, and some readers.
+# Waiting watches count too; an entry has about four of them and some readers.
 MAX_CALLS = 64
 # A job of 200 items in base64, and its assignments.
 MAX_BODY_BYTES = 16_000_000
@@ -90,14 +90,14 @@
 class Relays:
     """Tracks the workers that offer to relay calls to the store."""
 
-    def __init__(self, port: int, draw: random.Random) -> None:
+    def __init__(self, port: int, rng: random.Random) -> None:
         """Start without offers.
 
         :param port: port on which workers listen on every VM.
-        :param draw: source of randomness.
+        :param rng: source of randomness.
         """
         self._port = port
-        self._rng = draw
+        self._rng = rng
         self._offered_at: dict[str, float] = {}
 
     def note(self, host: str, *, has_store: bool) -> None:
--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -123,7 +123,7 @@
 
     @property
     def is_outdated(self) -> bool:
-        """Check whether there may be upstreams that the register lacks."""
+        """Check whether the register probably lacks live upstreams."""
         return is_picture_old(time.monotonic() - self._replaced_at)
 
     def _choose_routed(self) -> list[UpstreamState]:
--- a/src/wigeonpier/membership/directory.py
+++ b/src/wigeonpier/membership/directory.py
@@ -136,7 +136,7 @@
     def list_upstreams(self) -> list[UpstreamState]:
         """List upstreams with a recent heartbeat.
 
-        If all are silent the entry itself may be cut off; then all known
+        If all are silent the entry itself may be isolated; then all known
         upstreams are listed, and the outcomes of requests decide.
 
         :returns: routing states, leaving ones included.
--- a/src/wigeonpier/membership/ends.py
+++ b/src/wigeonpier/membership/ends.py
@@ -21,7 +21,7 @@
     from wigeonpier.web.pool import ConnectionPool
 
 # A VM in the next data centre answers within 3 ms, a busy process within some
-# tens of milliseconds; a VM that takes longer is gone or cut off.
+# tens of milliseconds; a VM that takes longer is gone or unreachable.
 PROBE_TIMEOUT_SECONDS = 0.1
 # No process crashes twice within this time, since it takes longer to start.
 SAME_CRASH_SECONDS = 1.0
--- a/src/wigeonpier/membership/reporter.py
+++ b/src/wigeonpier/membership/reporter.py
@@ -94,7 +94,7 @@
     def beat(self) -> None:
         """Send one heartbeat to each chosen entry and handle the replies."""
         heartbeat = self._describe()
-        # Requests work from only one entry, so that offers do not add up.
+        # Work is requested from only one entry, so that offers do not add up.
         without_wants = msgspec.structs.replace(heartbeat, wants=0)
         workers = {
             target: gevent.spawn(
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -168,7 +168,7 @@
 
 def make_sender(states: list[UpstreamState]) -> QuestionSender:
     """Make a sender for these upstreams; each one grants a slot."""
-    draw = random.Random(1)
+    rng = random.Random(1)
     pool = ConnectionPool()
     replicas = SimpleNamespace(
         list_upstreams=lambda: states,
@@ -177,12 +177,12 @@
         upstreams={state.name: state for state in states},
     )
     settings = make_settings('edge-0', '127.0.0.1:1')
-    chooser = UpstreamChooser(settings, replicas, draw)
+    chooser = UpstreamChooser(settings, replicas, rng)
     reserver = SimpleNamespace(ask=lambda *_given, **_named: Answer.granted)
     suspicions = Suspicions()
     suspects = SuspectWatch(
         suspicions,
-        SuspicionPublisher(suspicions, replicas, pool, 1, draw),
+        SuspicionPublisher(suspicions, replicas, pool, 1, rng),
         EndFinder(pool),
         replicas,
         Metrics(),
@@ -191,7 +191,7 @@
     binder = SlotBinder(
         replicas,
         chooser,
-        draw,
+        rng,
         SimpleNamespace(is_cut_off=False, note_contact=lambda: None),
         reserver,
         suspects,
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -112,7 +112,9 @@
     """Isolate the entry from store and workers, and wait until it knows."""
     site.store.faults.is_down = True
     _close_worker_feeds(site)
-    wait_for(lambda: not site.entries[0].is_ready, 'it leaves the rotation')
+    wait_for(
+        lambda: not site.entries[0].is_ready, 'the entry leaves the rotation'
+    )
 
 
 def test_isolated_entry_refuses_at_once(site: HostedSite) -> None:
@@ -131,7 +133,7 @@
     assert not any(replica.runs['q2'] for replica in site.replicas)
     for worker in site.workers:
         worker._feed.is_closed = False
-    wait_for(lambda: site.entries[0].is_ready, 'it is back in rotation')
+    wait_for(lambda: site.entries[0].is_ready, 'the entry is back in rotation')
     assert site.call('POST', '/once/3', 'q3').status == 200
 
 
@@ -164,7 +166,7 @@
     common.pool.forget(site.store_address)
     common.contact.ask()
     wait_for(lambda: common.contact.is_lost, 'the loss is known')
-    wait_for(common.contact.find_detour, 'somebody carries its calls')
+    wait_for(common.contact.find_detour, 'a worker relays its calls')
     return common.contact
 
 
@@ -204,7 +206,7 @@
     for common in [contact, *(w._common.contact for w in site.workers)]:
         common.ask()
     wait_for(lambda: contact.is_lost, 'the loss is known')
-    wait_for(lambda: not contact.find_detour(), 'nobody offers it')
+    wait_for(lambda: not contact.find_detour(), 'no worker offers to relay')
 
 
 def test_aborted_watch_restarts_with_read(
@@ -237,7 +239,7 @@
     site.store.put(name_replica('i-0'), b'not an entry')
     wait_for(
         lambda: not entry._replicas.upstreams,
-        'the change is heard of',
+        'the change is applied',
     )
     site.store.faults.is_deaf = True
     gevent.sleep(0.5)
@@ -249,5 +251,5 @@
     returned_at = time.monotonic()
     wait_for(lambda: not contact.is_lost, 'the return is known')
     site.replicas[0].register('suva-a')
-    wait_for(lambda: entry._replicas.upstreams, 'the next change is heard of')
+    wait_for(lambda: entry._replicas.upstreams, 'the next change is applied')
     assert time.monotonic() - returned_at < contact.plan.longest_blind + 0.5
--- a/tests/hosted/test_views.py
+++ b/tests/hosted/test_views.py
@@ -26,7 +26,7 @@
     """Stores results, and answers after a set delay."""
 
     def __init__(self) -> None:
-        """Begin with no results."""
+        """Start without results."""
         self.results: list[PlacedResult] = []
         self.delay = 0.0
         self.looks = 0
