--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -374,7 +374,7 @@
     listed = app.parts.platform.list_vms()
     if listed.is_ok():
         app.directory.note_vms(listed.unwrap())
-    app.limits.forget_entries(set(app.directory.list_entries()))
+    app.limits.remove_entries(set(app.directory.list_entries()))
     gevent.sleep(VM_LIST_SECONDS)
 
 
--- a/src/wigeonpier/entry/limitcalls.py
+++ b/src/wigeonpier/entry/limitcalls.py
@@ -1,4 +1,4 @@
-"""Calls between entries about the limits of customers."""
+"""Sends the calls between entries that enforce the limits of customers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     from wigeonpier.process import Parts
 
 LIMIT_PATH = '/peer/v1/limit'
-# A caller waits for it before its request is sent on.
-PATIENCE_SECONDS = 0.25
+# The caller's request waits for this call before it is forwarded.
+CALL_TIMEOUT_SECONDS = 0.25
 
 
 def make_fleet(
@@ -28,29 +28,29 @@
     directory: Directory,
     reporter: Reporter,
 ) -> Fleet:
-    """Give the limits access to the other entries.
+    """Make the access of the limits to the other entries.
 
-    :param parts: address of this entry, and its connections.
-    :param directory: entries that were heard.
-    :param reporter: entries that are known otherwise.
-    :returns: what the limits need.
+    :param parts: address of this entry and its connections.
+    :param directory: entries that have sent heartbeats.
+    :param reporter: entries that are known from replies and settings.
+    :returns: the access.
     """
 
     def list_entries() -> list[str]:
-        # Until the first replies it is not known what others have admitted.
+        # What the others have admitted is unknown before the first replies.
         return directory.list_live_entries() if reporter.has_beaten else []
 
     def count_entries() -> int:
-        heard = directory.list_entries()
-        return len({*heard, *reporter.neighbours.entries, parts.address})
+        known = directory.list_entries()
+        return len({*known, *reporter.neighbours.entries, parts.address})
 
-    def ask(owner: str, call: LimitCall) -> LimitAnswer | None:
+    def call_owner(owner: str, call: LimitCall) -> LimitAnswer | None:
         called = parts.caller.call(
             owner,
             'POST',
             LIMIT_PATH,
             msgspec.json.encode(call),
-            patience=PATIENCE_SECONDS,
+            patience=CALL_TIMEOUT_SECONDS,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             return None
@@ -60,4 +60,4 @@
             log_event(Event.limit_unreadable, entry=owner, why=str(error))
             return None
 
-    return Fleet(lambda: parts.address, list_entries, count_entries, ask)
+    return Fleet(lambda: parts.address, list_entries, count_entries, call_owner)
--- a/src/wigeonpier/entry/limits.py
+++ b/src/wigeonpier/entry/limits.py
@@ -1,7 +1,7 @@
-"""Limits of customers over all entries.
+"""Enforces the limits of customers over all entries.
 
-Each customer has one entry, its owner, that counts for all of them; every
-entry computes the owner from the entries that it knows.
+Each customer has one owner: the entry that counts its use at all entries.
+Every entry computes the owner from the entries that it knows.
 """
 
 from __future__ import annotations
@@ -40,26 +40,26 @@
     from wigeonpier.settings.deployment import Limits
 
 IDLE_SECONDS = 60.0
-# An owner that does not answer is asked again after such a pause.
-FIRST_PAUSE_SECONDS = 0.5
-LONGEST_PAUSE_SECONDS = 4.0
-# Requests that were admitted while no owner answered.
-ALONE = ''
+# Pauses before an owner that did not answer is called again.
+INITIAL_PAUSE_SECONDS = 0.5
+MAX_PAUSE_SECONDS = 4.0
+# Stands in for the owner of requests that were admitted while none answered.
+NO_OWNER = ''
 
 
 @dataclass(slots=True)
 class Account:
-    """What one active customer uses at this entry.
+    """Usage of one active customer at this entry.
 
     :param admitted: requests in the window, by the start of the owner that
         admitted them.
     :param in_progress: requests in progress.
     :param tokens: tokens of answers that no owner has counted yet.
-    :param is_tight: whether requests that end are reported at once.
-    :param used_at: when it last asked, seconds.
-    :param alone: what is counted here while no owner answers.
-    :param total: requests of all entries, as the owner last answered.
-    :param total_until: when they have left the window, seconds.
+    :param is_tight: whether the end of a request is reported at once.
+    :param used_at: time of the last request, seconds.
+    :param fallback: counts here while no owner answers, else ``None``.
+    :param total: requests at all entries, from the owner's last answer.
+    :param total_until: when that total leaves the window, seconds.
     """
 
     admitted: dict[str, Window] = field(default_factory=dict)
@@ -67,23 +67,23 @@
     tokens: float = 0
     is_tight: bool = False
     used_at: float = 0
-    alone: OwnedAccount | None = None
+    fallback: OwnedAccount | None = None
     total: float = 0
     total_until: float = 0
 
-    def recall_total(self, now: float) -> float:
-        """Give the requests of all entries in the window.
+    def get_total(self, now: float) -> float:
+        """Get the requests in the window at all entries.
 
         :param now: seconds.
-        :returns: what the owner last answered, 0 where that is too old.
+        :returns: the owner's last total, 0 where it is out of date.
         """
         return self.total if now < self.total_until else 0
 
     def list_admitted(self, now: float) -> dict[str, float]:
-        """List the requests in the window, by owner.
+        """Count the requests in the window, by owner.
 
         :param now: seconds.
-        :returns: how many each start of an owner has admitted.
+        :returns: number of requests by the owner's start.
         """
         sums = {
             owner: sum_spent(window, now)
@@ -97,32 +97,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """What the limits need of the other entries.
-
-    :param address: gives the address of this entry.
-    :param list_entries: lists the addresses of live entries, this one's too.
-    :param count_entries: counts the entries that there may be.
-    :param ask: asks the owner; ``None`` where it does not answer.
+    """Access to the other entries.
+
+    :param address: returns the address of this entry.
+    :param list_entries: lists the addresses of live entries, this one
+        included.
+    :param count_entries: counts the entries that may exist.
+    :param call_owner: sends a call to the owner; returns ``None`` where it
+        does not answer.
     """
 
     address: Callable[[], str]
     list_entries: Callable[[], list[str]]
     count_entries: Callable[[], int]
-    ask: Callable[[str, LimitCall], LimitAnswer | None]
+    call_owner: Callable[[str, LimitCall], LimitAnswer | None]
 
 
 @dataclass(slots=True)
 class CustomerLimits:
-    """Admits requests of customers, and counts for those that it owns.
+    """Admits requests of customers, and counts for the customers it owns.
 
-    :param clock: gives seconds.
+    :param clock: returns seconds.
     :param fleet: the other entries.
     :param draw: source of randomness.
-    :param start: tells the starts of this process apart.
-    :param accounts: customers that are active here.
-    :param owned: accounts that are counted here, by customer.
+    :param start: identifies this start of the process.
+    :param accounts: usage of customers that are active at this entry.
+    :param owned: accounts of the customers that this entry owns.
     :param peers: requests that other entries admitted, by entry and customer.
-    :param pauses: owners that do not answer.
+    :param pauses: pauses after calls that failed, by owner.
     """
 
     clock: Callable[[], float]
@@ -135,17 +137,17 @@
     pauses: dict[str, Backoff] = field(default_factory=dict)
 
     @contextmanager
-    def hold(self, customer: str, limits: Limits) -> Iterator[Account]:
-        """Admit one online request.
+    def acquire(self, customer: str, limits: Limits) -> Iterator[Account]:
+        """Admit one online request and count it while the context is open.
 
-        :param customer: who asks.
-        :param limits: what it may use over all entries.
+        :param customer: name of the customer.
+        :param limits: its limits over all entries.
         :yields: the account, to be charged for tokens.
         :raises Refusal: when a limit is reached; the request did not run.
         """
         account = self.accounts.setdefault(customer, Account())
         limit = make_rate_limit(limits)
-        # Those that are about to be decided on count as well.
+        # Requests that wait for the decision count as well.
         account.in_progress += 1
         try:
             self._admit(customer, account, limit)
@@ -153,12 +155,14 @@
         finally:
             account.in_progress -= 1
             if account.is_tight:
-                gevent.spawn(self._ask_owner, customer, account, limit, 0)
+                gevent.spawn(
+                    self._request_decision, customer, account, limit, 0
+                )
 
     def answer(self, call: LimitCall) -> LimitAnswer:
-        """Decide for an entry as the owner of a customer.
+        """Decide on the call of an entry as the owner of its customer.
 
-        :param call: what the entry asks.
+        :param call: the call.
         :returns: the decision.
         """
         now = self.clock()
@@ -194,41 +198,41 @@
         )
 
     def report(self) -> tuple[Usage, ...]:
-        """Report to the other entries what was admitted here.
+        """List the usage at this entry, for the other entries.
 
         :returns: requests in the window, by customer.
         """
         now = self.clock()
-        self._drop_idle(now)
+        self._remove_idle(now)
         return tuple(
-            Usage(customer, round(requests, 2), account.recall_total(now))
+            Usage(customer, round(requests, 2), account.get_total(now))
             for customer, account in self.accounts.items()
             if (requests := sum(account.list_admitted(now).values()))
         )
 
     def report_tokens(self, limits_of: Callable[[str], Limits | None]) -> None:
-        """Report tokens to the owners of customers that ask nothing just now.
+        """Report tokens to the owners that no later request has reported.
 
-        :param limits_of: gives a customer's limits, ``None`` for none.
+        :param limits_of: returns a customer's limits, ``None`` for none.
         """
         for customer, account in list(self.accounts.items()):
             limits = limits_of(customer) if account.tokens else None
             if limits is not None:
                 limit = make_rate_limit(limits)
-                self._ask_owner(customer, account, limit, 0)
+                self._request_decision(customer, account, limit, 0)
 
     def record_peer_usage(self, entry: str, usage: tuple[Usage, ...]) -> None:
-        """Record what another entry admitted.
+        """Record the usage at another entry.
 
-        :param entry: its address.
+        :param entry: address of the entry.
         :param usage: requests in the window, by customer.
         """
         self.peers[entry] = {used.customer: used for used in usage}
 
-    def forget_entries(self, live: set[str]) -> None:
-        """Drop what is known of entries that are gone.
+    def remove_entries(self, live: set[str]) -> None:
+        """Remove the state of entries that are not live any more.
 
-        :param live: addresses of those that are not.
+        :param live: addresses of live entries.
         """
         for entry in set(self.peers) - live:
             self.peers.pop(entry)
@@ -238,98 +242,100 @@
 
     def _admit(self, customer: str, account: Account, limit: RateLimit) -> None:
         account.used_at = self.clock()
-        decision = self._ask_owner(customer, account, limit, 1)
+        decision = self._request_decision(customer, account, limit, 1)
         if decision is None:
-            decision = self._decide_alone(account, limit)
+            decision = self._decide_without_owner(account, limit)
         if decision.exhausted:
             log_event(
                 Event.customer_limited,
                 customer=customer,
                 limit=decision.exhausted,
-                is_alone=account.alone is not None,
+                is_alone=account.fallback is not None,
                 entries=self.fleet.count_entries(),
             )
             raise _refuse(decision)
 
-    def _ask_owner(
+    def _request_decision(
         self,
         customer: str,
         account: Account,
         limit: RateLimit,
         requests: int,
     ) -> Decision | None:
-        """Ask the owner; ``None`` where it does not answer."""
-        asked_at = self.clock()
+        """Call the owner; return ``None`` where it does not answer."""
+        requested_at = self.clock()
         tokens = account.tokens
         account.tokens = 0
         call = LimitCall(
             entry=self.fleet.address(),
             customer=customer,
             requests=requests,
-            admitted=account.list_admitted(asked_at),
+            admitted=account.list_admitted(requested_at),
             in_progress=account.in_progress,
             tokens=tokens,
             requests_limit=limit.requests,
             tokens_limit=limit.tokens,
             concurrent_limit=limit.concurrent,
         )
-        answer = self._call(call, asked_at)
+        answer = self._call_owner(call, requested_at)
         if answer is None:
             account.tokens += tokens
             return None
-        account.alone = None
+        account.fallback = None
         account.is_tight = answer.is_tight
         account.total = answer.total
-        account.total_until = asked_at + limit.window_seconds
+        account.total_until = requested_at + limit.window_seconds
         if requests and not answer.exhausted:
-            self._note_admitted(account, limit, answer.owner, asked_at)
+            self._record_admitted(account, limit, answer.owner, requested_at)
         return Decision(
             Exhausted(answer.exhausted),
             answer.retry_after,
             answer.is_tight,
         )
 
-    def _call(self, call: LimitCall, now: float) -> LimitAnswer | None:
+    def _call_owner(self, call: LimitCall, now: float) -> LimitAnswer | None:
         entries = self.fleet.list_entries()
         owner = rank_by_key(entries, call.customer)[0] if entries else ''
         if owner == call.entry:
             return self.answer(call)
         pause = self.pauses.setdefault(
             owner,
-            Backoff(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS),
+            Backoff(INITIAL_PAUSE_SECONDS, MAX_PAUSE_SECONDS),
         )
         if not owner or pause.is_paused(now):
             return None
-        answer = self.fleet.ask(owner, call)
+        answer = self.fleet.call_owner(owner, call)
         if answer is None:
             pause.record_refusal(self.clock())
         else:
             pause.record_success()
         return answer
 
-    def _decide_alone(self, account: Account, limit: RateLimit) -> Decision:
-        """Admit an equal share while the owner does not answer."""
+    def _decide_without_owner(
+        self, account: Account, limit: RateLimit
+    ) -> Decision:
+        """Admit this entry's equal share while the owner does not answer."""
         now = self.clock()
         entries = self.fleet.count_entries()
-        own = limit_alone(limit, entries)
-        if account.alone is None:
-            account.alone = open_account(own, now)
+        share = limit_alone(limit, entries)
+        if account.fallback is None:
+            account.fallback = open_account(share, now)
         if self.draw.random() >= admission_chance(limit, entries):
-            return Decision(Exhausted.requests, own.window_seconds)
+            return Decision(Exhausted.requests, share.window_seconds)
         admitted = account.list_admitted(now)
-        admitted.pop(ALONE, None)
+        admitted.pop(NO_OWNER, None)
         elsewhere = sum(admitted.values())
         decision = decide(
-            account.alone,
-            own,
-            Demand(ALONE, 1, elsewhere, account.in_progress, 0),
+            account.fallback,
+            share,
+            Demand(NO_OWNER, 1, elsewhere, account.in_progress, 0),
             now,
         )
         if not decision.exhausted:
-            self._note_admitted(account, limit, ALONE, now)
+            self._record_admitted(account, limit, NO_OWNER, now)
         return decision
 
-    def _note_admitted(
+    def _record_admitted(
         self,
         account: Account,
         limit: RateLimit,
@@ -347,20 +353,21 @@
         now: float,
     ) -> OwnedAccount:
         account = open_account(limit, now)
-        own = self.accounts.get(customer)
-        total = own.recall_total(now) if own else 0
+        local = self.accounts.get(customer)
+        total = local.get_total(now) if local else 0
         for entry, usage in self.peers.items():
             used = usage.get(customer)
             if used is not None:
                 account.note_elsewhere(entry, used.requests, now)
                 total = max(total, used.total)
-        # What entries admitted that are gone was counted by the owner before.
+        # The rest of the total was admitted by entries that are gone; only
+        # the previous owner counted it.
         missing = total - account.count_admitted(now)
-        account.note_elsewhere(ALONE, max(0, missing), now)
+        account.note_elsewhere(NO_OWNER, max(0, missing), now)
         self.owned[customer] = account
         return account
 
-    def _drop_idle(self, now: float) -> None:
+    def _remove_idle(self, now: float) -> None:
         self.accounts = {
             customer: account
             for customer, account in self.accounts.items()
@@ -376,7 +383,7 @@
 
 
 def make_rate_limit(limits: Limits) -> RateLimit:
-    """Make the limit of a customer as the policy takes it.
+    """Convert configured limits to the limit that the policy uses.
 
     :param limits: limits of the configuration.
     :returns: the limit.
--- a/src/wigeonpier/entry/online.py
+++ b/src/wigeonpier/entry/online.py
@@ -179,7 +179,9 @@
         customers = self.holder.deployment.customers
         limits = customers[request.customer].limits
         held = ExitStack()
-        account = held.enter_context(self.limits.hold(request.customer, limits))
+        account = held.enter_context(
+            self.limits.acquire(request.customer, limits)
+        )
         try:
             response = self.forwarder.send(work)
         except BaseException:
