--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -24,7 +24,7 @@
 from wigeonpier.entry.online import OnlineHandler
 from wigeonpier.entry.peers import PeerHandler
 from wigeonpier.entry.resends import OnlineResends
-from wigeonpier.entry.suspects import WorkSuspects
+from wigeonpier.entry.suspects import SuspectFilter
 from wigeonpier.loops import spawn_loop
 from wigeonpier.membership.directory import Directory
 from wigeonpier.membership.exchange import make_exchange_route
@@ -203,7 +203,7 @@
         parts.caller,
         parts.metrics,
         parts.draw,
-        WorkSuspects(parts.suspicions, parts.caller),
+        SuspectFilter(parts.suspicions, parts.caller),
     )
     online = OnlineHandler(
         parts.holder,
--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -1,4 +1,4 @@
-"""Sends online requests to upstreams, with retries and stream resumption."""
+"""Forwards online requests to upstreams, with retries and resumed streams."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     import random
     from collections.abc import Iterator
 
-    from wigeonpier.entry.suspects import WorkSuspects
+    from wigeonpier.entry.suspects import SuspectFilter
     from wigeonpier.membership.directory import Directory
     from wigeonpier.policy.route import UpstreamState
     from wigeonpier.telemetry.metrics import Metrics
@@ -47,20 +47,20 @@
 
 
 @dataclass(slots=True)
-class Work:
-    """One online request on its way.
+class PendingRequest:
+    """An online request that is being forwarded.
 
-    :param request: as the caller sent it.
+    :param request: the request as the caller sent it.
     :param path: path at the local process.
-    :param body: whole body.
-    :param ask: what it wants of an upstream.
+    :param body: the complete body.
+    :param ask: requirements for the upstream.
     :param is_idempotent: whether it may run more than once.
     :param deadline: monotonic seconds.
     :param arrived: monotonic seconds.
-    :param tries: tries that were made.
-    :param may_have_run: whether one of them may have run.
-    :param tokens: tokens of the answer, for the customer's rate.
-    :param fingerprint: names its content, empty until that is asked for.
+    :param attempts: number of attempts so far.
+    :param may_have_run: whether one of the attempts may have run.
+    :param tokens: tokens of the answer, for the customer's limit.
+    :param fingerprint: fingerprint of its content, empty until computed.
     """
 
     request: Request
@@ -70,15 +70,18 @@
     is_idempotent: bool
     deadline: float
     arrived: float = field(default_factory=time.monotonic)
-    tries: int = 0
+    attempts: int = 0
     may_have_run: bool = False
     tokens: int = 0
     fingerprint: str = ''
 
-    def name_content(self) -> str:
-        """Name it by its content, which its repeats share.
+    def compute_fingerprint(self) -> str:
+        """Compute the fingerprint of the content, once.
 
-        :returns: its fingerprint, also where it goes on from a part.
+        Repeats of the request have the same fingerprint.
+
+        :returns: fingerprint of the original request, also for the
+            continuation of a stream.
         """
         if not self.fingerprint:
             self.fingerprint = digest_request(
@@ -91,16 +94,16 @@
 
     @property
     def seconds_left(self) -> float:
-        """Give the time until the deadline."""
+        """Return the time until the deadline."""
         return self.deadline - time.monotonic()
 
 
 @dataclass(slots=True)
-class BadTry:
-    """How a try ended badly.
+class AttemptFailure:
+    """Failure of one attempt.
 
-    :param fate: whether the work may have run.
-    :param refusal: answer to the caller if it is the last try.
+    :param fate: whether the request may have run.
+    :param refusal: answer to the caller if this is the last attempt.
     """
 
     fate: Fate
@@ -108,21 +111,24 @@
 
 
 @dataclass(slots=True)
-class _Hold:
-    """The upstream that a stream holds; a body may never be iterated."""
+class _StreamConnection:
+    """The upstream slot and connection that a stream occupies.
+
+    The server releases it as well, since a body may never be iterated.
+    """
 
     state: UpstreamState
     reply: StreamReply
-    is_held: bool = True
+    is_open: bool = True
 
-    def take(self, state: UpstreamState, reply: StreamReply) -> None:
+    def attach(self, state: UpstreamState, reply: StreamReply) -> None:
         self.state = state
         self.reply = reply
-        self.is_held = True
+        self.is_open = True
 
     def release(self) -> None:
-        if self.is_held:
-            self.is_held = False
+        if self.is_open:
+            self.is_open = False
             self.state.in_hand -= 1
             self.reply.close()
 
@@ -133,48 +139,48 @@
 
     :param directory: upstreams that the entry knows.
     :param caller: connections to local processes.
-    :param metrics: numbers of this process.
+    :param metrics: metrics of this process.
     :param draw: source of randomness.
-    :param suspects: judges requests under which upstreams have ended.
-    :param budget: retries that may be made.
+    :param suspect_filter: refuses requests that crash upstreams.
+    :param budget: limits the share of retries.
     """
 
     directory: Directory
     caller: HttpCaller
     metrics: Metrics
     draw: random.Random
-    suspects: WorkSuspects
+    suspect_filter: SuspectFilter
     budget: RetryBudget = field(default_factory=RetryBudget)
 
-    def send(self, work: Work) -> Response:
-        """Get the answer to a request.
+    def send(self, pending: PendingRequest) -> Response:
+        """Forward a request until an upstream answers it.
 
-        :param work: the request.
+        :param pending: the request.
         :returns: the upstream's answer.
-        :raises Refusal: when no try may be made any more.
+        :raises Refusal: when no further attempt is allowed.
         """
         self.budget.note_request()
         try:
-            return self._try_until_answered(work)
+            return self._attempt_until_answered(pending)
         except Refusal as refusal:
-            raise _own_up(work, refusal) from refusal
+            raise _correct_ran(pending, refusal) from refusal
 
-    def _try_until_answered(self, work: Work) -> Response:
+    def _attempt_until_answered(self, pending: PendingRequest) -> Response:
         while True:
-            state = self._choose(work)
-            self.suspects.prepare(work, state)
-            outcome = self._try_once(work, state)
+            state = self._choose(pending)
+            self.suspect_filter.check(pending, state)
+            outcome = self._attempt_once(pending, state)
             if isinstance(outcome, Ok):
                 return outcome.ok_value
-            self._plan_retry(work, state, outcome.err_value)
+            self._plan_retry(pending, state, outcome.err_value)
 
-    def _choose(self, work: Work) -> UpstreamState:
-        if work.seconds_left <= 0:
+    def _choose(self, pending: PendingRequest) -> UpstreamState:
+        if pending.seconds_left <= 0:
             raise Refusal(ErrorKind.deadline_passed, 'the deadline passed')
         now = self.directory.clock()
         state = choose_upstream(
             self.directory.list_upstreams(),
-            work.ask,
+            pending.ask,
             now,
             self.draw,
         )
@@ -190,59 +196,59 @@
         )
         return state
 
-    def _try_once(
+    def _attempt_once(
         self,
-        work: Work,
+        pending: PendingRequest,
         state: UpstreamState,
-    ) -> Result[Response, BadTry]:
-        work.tries += 1
-        self._note_added(work)
+    ) -> Result[Response, AttemptFailure]:
+        pending.attempts += 1
+        self._record_added_latency(pending)
         check_promise(
-            work.is_idempotent or not work.may_have_run,
+            pending.is_idempotent or not pending.may_have_run,
             Promise.runs_at_most_once,
-            work.request.identity,
+            pending.request.identity,
         )
         state.in_hand += 1
-        opened = self._open(work, state)
+        opened = self._open(pending, state)
         if isinstance(opened, Err):
             state.in_hand -= 1
             return opened
         reply = opened.ok_value
         if reply.get_header('content-type').startswith(EVENT_STREAM_TYPE):
-            return Ok(self._start_stream(work, state, reply))
-        whole = self._read_whole(work, state, reply)
+            return Ok(self._start_stream(pending, state, reply))
+        response = self._read_response(pending, state, reply)
         state.in_hand -= 1
         reply.close()
-        return whole
+        return response
 
-    def _note_added(self, work: Work) -> None:
-        if work.tries == 1:
+    def _record_added_latency(self, pending: PendingRequest) -> None:
+        if pending.attempts == 1:
             self.metrics.observe(
                 'added_latency',
-                time.monotonic() - work.arrived,
-                service=work.ask.service,
+                time.monotonic() - pending.arrived,
+                service=pending.ask.service,
                 work='online',
             )
 
     def _open(
         self,
-        work: Work,
+        pending: PendingRequest,
         state: UpstreamState,
-    ) -> Result[StreamReply, BadTry]:
+    ) -> Result[StreamReply, AttemptFailure]:
         opened = self.caller.open(
             state.address,
-            work.request.method,
-            work.path,
-            work.body,
-            headers=_make_headers(work),
-            patience=round_patience(work.seconds_left),
+            pending.request.method,
+            pending.path,
+            pending.body,
+            headers=_make_headers(pending),
+            patience=round_patience(pending.seconds_left),
         )
         now = self.directory.clock()
         if isinstance(opened, Err):
             note_outcome(state, went_well=False, now=now)
-            return Err(_judge_failure(opened.err_value))
+            return Err(_classify_failure(opened.err_value))
         reply = opened.ok_value
-        identity = work.request.identity
+        identity = pending.request.identity
         echoed = reply.get_header(headers.REQUEST_ID)
         check_promise(
             echoed == identity,
@@ -251,58 +257,62 @@
         )
         if echoed != identity:
             reply.close()
-            return Err(_judge_failure(CallFailure.lost))
+            return Err(_classify_failure(CallFailure.lost))
         if reply.status >= SERVER_ERROR or reply.status == OVERLOAD_STATUS:
-            bad = _judge_refusal(reply)
-            note_outcome(state, bad.fate is Fate.not_run, now)
-            return Err(bad)
+            failure = _classify_refusal(reply)
+            note_outcome(state, failure.fate is Fate.not_run, now)
+            return Err(failure)
         note_outcome(state, went_well=True, now=now)
         return Ok(reply)
 
-    def _read_whole(
+    def _read_response(
         self,
-        work: Work,
+        pending: PendingRequest,
         state: UpstreamState,
         reply: StreamReply,
-    ) -> Result[Response, BadTry]:
+    ) -> Result[Response, AttemptFailure]:
         try:
             body = reply.read()
         except (OSError, HTTPParseError):
             note_outcome(state, went_well=False, now=self.directory.clock())
-            return Err(_judge_failure(CallFailure.lost))
-        work.tokens = _count_tokens(work, body)
+            return Err(_classify_failure(CallFailure.lost))
+        pending.tokens = _count_tokens(pending, body)
         content_type = reply.get_header('content-type')
         return Ok(Response(reply.status, body, content_type))
 
     def _start_stream(
         self,
-        work: Work,
+        pending: PendingRequest,
         state: UpstreamState,
         reply: StreamReply,
     ) -> Response:
-        hold = _Hold(state, reply)
+        connection = _StreamConnection(state, reply)
         return Response(
             reply.status,
-            self._relay(work, hold),
+            self._relay(pending, connection),
             EVENT_STREAM_TYPE,
-            on_close=[hold.release],
+            on_close=[connection.release],
         )
 
-    def _relay(self, work: Work, hold: _Hold) -> Iterator[bytes]:
+    def _relay(
+        self, pending: PendingRequest, connection: _StreamConnection
+    ) -> Iterator[bytes]:
         sent: list[bytes] = []
         try:
             while True:
-                yield from self._relay_part(work, hold.reply, sent)
+                yield from self._relay_part(pending, connection.reply, sent)
                 if sent and is_end_line(sent[-1]):
                     return
-                hold.release()
-                hold.take(*self._resume(work, hold.state, sent))
+                connection.release()
+                connection.attach(
+                    *self._resume(pending, connection.state, sent)
+                )
         except Refusal as refusal:
-            yield _render_error(_own_up(work, refusal))
+            yield _render_error(_correct_ran(pending, refusal))
 
     def _relay_part(
         self,
-        work: Work,
+        pending: PendingRequest,
         reply: StreamReply,
         sent: list[bytes],
     ) -> Iterator[bytes]:
@@ -311,88 +321,101 @@
             for line in reply.iterate_lines():
                 if is_text_line(line):
                     now = time.monotonic()
-                    self._note_token(work, now - (last or work.arrived), last)
+                    self._record_token(
+                        pending, now - (last or pending.arrived), last
+                    )
                     last = now
-                    work.tokens += 1
+                    pending.tokens += 1
                     sent.append(line)
                 elif is_end_line(line):
                     sent.append(line)
                 yield line
 
-    def _note_token(self, work: Work, seconds: float, last: float) -> None:
+    def _record_token(
+        self, pending: PendingRequest, seconds: float, last: float
+    ) -> None:
         name = 'between_tokens' if last else 'first_token'
         self.metrics.observe(
             name,
             seconds,
-            service=work.ask.service,
+            service=pending.ask.service,
             work='online',
         )
 
     def _resume(
         self,
-        work: Work,
+        pending: PendingRequest,
         state: UpstreamState,
         sent: list[bytes],
     ) -> tuple[UpstreamState, StreamReply]:
         note_outcome(state, went_well=False, now=self.directory.clock())
-        work.name_content()
+        pending.compute_fingerprint()
         delivered = assemble(sent)
         body = continue_body(
-            work.body,
+            pending.body,
             delivered.text,
             len(delivered.parts),
         )
-        # Whatever is refused from here on, a part of it has run.
-        work.may_have_run = True
-        rest = replace(work, body=body)
+        # Part of the request has run, so a later refusal can't say that it
+        # did not run.
+        pending.may_have_run = True
+        continuation = replace(pending, body=body)
         while True:
-            bad = _judge_failure(CallFailure.lost)
-            self._plan_retry(rest, state, bad)
-            state = self._choose(rest)
-            self.suspects.prepare(rest, state)
+            failure = _classify_failure(CallFailure.lost)
+            self._plan_retry(continuation, state, failure)
+            state = self._choose(continuation)
+            self.suspect_filter.check(continuation, state)
             log_event(
                 Event.stream_resumed,
-                request=work.request.identity,
+                request=pending.request.identity,
                 upstream=state.name,
                 tokens=len(delivered.parts),
             )
-            rest.tries += 1
+            continuation.attempts += 1
             state.in_hand += 1
-            opened = self._open(rest, state)
+            opened = self._open(continuation, state)
             if isinstance(opened, Ok):
                 return state, opened.ok_value
             state.in_hand -= 1
 
     def _plan_retry(
         self,
-        work: Work,
+        pending: PendingRequest,
         state: UpstreamState,
-        bad: BadTry,
+        failure: AttemptFailure,
     ) -> None:
-        last = Try(work.tries, bad.fate, work.is_idempotent, work.seconds_left)
-        work.may_have_run = work.may_have_run or bad.fate is Fate.may_have_run
-        if bad.refusal.kind is ErrorKind.upstream_lost:
-            # Passed on, what ended this upstream would end the next one too.
-            self.suspects.learn(work, state)
+        last = Try(
+            pending.attempts,
+            failure.fate,
+            pending.is_idempotent,
+            pending.seconds_left,
+        )
+        pending.may_have_run = (
+            pending.may_have_run or failure.fate is Fate.may_have_run
+        )
+        if failure.refusal.kind is ErrorKind.upstream_lost:
+            # If this request crashed the upstream, it would crash the next
+            # one too.
+            self.suspect_filter.refresh(pending, state)
         if not may_retry(last, self.budget):
-            raise bad.refusal
+            raise failure.refusal
         self.budget.note_retry()
-        self.metrics.count('retries_total', service=work.ask.service)
+        self.metrics.count('retries_total', service=pending.ask.service)
         log_event(
             Event.request_retried,
-            request=work.request.identity,
+            request=pending.request.identity,
             upstream=state.name,
-            kind=bad.refusal.kind.value,
+            kind=failure.refusal.kind.value,
         )
-        work.ask = replace(
-            work.ask,
-            excluded=work.ask.excluded | {state.name},
+        pending.ask = replace(
+            pending.ask,
+            excluded=pending.ask.excluded | {state.name},
         )
 
 
-def _own_up(work: Work, refusal: Refusal) -> Refusal:
-    """Let a refusal speak for all tries, not only for the last one."""
-    if work.may_have_run and refusal.ran is Ran.no:
+def _correct_ran(pending: PendingRequest, refusal: Refusal) -> Refusal:
+    """Make a refusal report whether any attempt, not only the last, ran."""
+    if pending.may_have_run and refusal.ran is Ran.no:
         refusal = Refusal(
             refusal.kind,
             refusal.message,
@@ -400,53 +423,53 @@
             retry_after=refusal.retry_after,
         )
     check_promise(
-        refusal.ran is not Ran.no or not work.may_have_run,
+        refusal.ran is not Ran.no or not pending.may_have_run,
         Promise.refused_means_not_run,
-        work.request.identity,
+        pending.request.identity,
     )
     return refusal
 
 
-def _count_tokens(work: Work, body: bytes) -> int:
-    if not work.ask.model:
+def _count_tokens(pending: PendingRequest, body: bytes) -> int:
+    if not pending.ask.model:
         return 0
     try:
-        whole = msgspec.json.decode(body, type=Whole)
+        answer = msgspec.json.decode(body, type=Whole)
     except msgspec.DecodeError:
         return 0
-    return whole.usage.completion_tokens
+    return answer.usage.completion_tokens
 
 
-def _make_headers(work: Work) -> dict[str, str]:
-    made = {
-        name: work.request.headers[name]
+def _make_headers(pending: PendingRequest) -> dict[str, str]:
+    forwarded = {
+        name: pending.request.headers[name]
         for name in FORWARDED_HEADERS
-        if name in work.request.headers
+        if name in pending.request.headers
     }
-    made[headers.REQUEST_ID] = work.request.identity
-    made[headers.CUSTOMER] = work.request.customer
-    left = max(1, int(work.seconds_left * MILLISECONDS))
-    made[headers.DEADLINE_MS] = str(left)
-    if work.fingerprint:
-        made[headers.FINGERPRINT] = work.fingerprint
-    if work.request.span:
-        made['traceparent'] = work.request.span.traceparent
-    return made
-
-
-def _judge_failure(failure: CallFailure) -> BadTry:
+    forwarded[headers.REQUEST_ID] = pending.request.identity
+    forwarded[headers.CUSTOMER] = pending.request.customer
+    milliseconds = max(1, int(pending.seconds_left * MILLISECONDS))
+    forwarded[headers.DEADLINE_MS] = str(milliseconds)
+    if pending.fingerprint:
+        forwarded[headers.FINGERPRINT] = pending.fingerprint
+    if pending.request.span:
+        forwarded['traceparent'] = pending.request.span.traceparent
+    return forwarded
+
+
+def _classify_failure(failure: CallFailure) -> AttemptFailure:
     if failure is CallFailure.not_sent:
-        return BadTry(
+        return AttemptFailure(
             Fate.not_run,
             Refusal(ErrorKind.no_upstream, 'the upstream cannot be reached'),
         )
-    return BadTry(
+    return AttemptFailure(
         Fate.may_have_run,
         Refusal(ErrorKind.upstream_lost, 'the upstream was lost'),
     )
 
 
-def _judge_refusal(reply: StreamReply) -> BadTry:
+def _classify_refusal(reply: StreamReply) -> AttemptFailure:
     try:
         page = msgspec.json.decode(reply.read(), type=ErrorPage)
         refusal = Refusal(
@@ -462,7 +485,7 @@
     finally:
         reply.close()
     fate = Fate.not_run if refusal.ran is Ran.no else Fate.may_have_run
-    return BadTry(fate, refusal)
+    return AttemptFailure(fate, refusal)
 
 
 def _render_error(refusal: Refusal) -> bytes:
--- a/src/wigeonpier/entry/online.py
+++ b/src/wigeonpier/entry/online.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from wigeonpier.batch.models import ListPage
-from wigeonpier.entry.forward import Forwarder, Work
+from wigeonpier.entry.forward import Forwarder, PendingRequest
 from wigeonpier.entry.resends import (
     OnlineResends,
     digest_parts,
@@ -155,7 +155,7 @@
     ) -> Response:
         deployment = self.holder.deployment
         service = deployment.services[ask.service]
-        work = Work(
+        pending = PendingRequest(
             request=request,
             path=path,
             body=body,
@@ -164,18 +164,18 @@
             deadline=time.monotonic() + service.deadline_seconds,
         )
         key = request.headers.get(headers.IDEMPOTENCY_KEY, '')
-        if not key or work.is_idempotent:
-            return self._admit(work)
+        if not key or pending.is_idempotent:
+            return self._admit(pending)
         return self.resends.run_once(
             name_online(request.customer, key),
             digest_parts(request.method.encode(), path.encode(), body),
             deployment.batch.resend_hours,
-            lambda: self._admit(work),
+            lambda: self._admit(pending),
         )
 
-    def _admit(self, work: Work) -> Response:
+    def _admit(self, pending: PendingRequest) -> Response:
         """Send a request within the customer's limits."""
-        request = work.request
+        request = pending.request
         customers = self.holder.deployment.customers
         limits = customers[request.customer].limits
         held = ExitStack()
@@ -183,11 +183,11 @@
             self.limits.acquire(request.customer, limits)
         )
         try:
-            response = self.forwarder.send(work)
+            response = self.forwarder.send(pending)
         except BaseException:
             held.close()
             raise
-        response.on_close.append(lambda: _charge(account, work))
+        response.on_close.append(lambda: _charge(account, pending))
         response.on_close.append(held.close)
         return response
 
@@ -211,5 +211,5 @@
     return TRUTHS[said.lower()]
 
 
-def _charge(account: Account, work: Work) -> None:
-    account.tokens += work.tokens
+def _charge(account: Account, pending: PendingRequest) -> None:
+    account.tokens += pending.tokens
--- a/src/wigeonpier/entry/suspects.py
+++ b/src/wigeonpier/entry/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps requests that end upstreams from being passed on by this entry."""
+"""Refuses to forward requests that are known to crash upstreams."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 from wigeonpier.policy.suspicion import Standing
 
 if TYPE_CHECKING:
-    from wigeonpier.entry.forward import Work
+    from wigeonpier.entry.forward import PendingRequest
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.policy.route import UpstreamState
     from wigeonpier.web.client import HttpCaller
 
-# The version of an upstream's software is not known here.
+# An entry does not know the version of an upstream's software.
 NO_VERSION = frozenset(('',))
 
 
 @dataclass(frozen=True, slots=True)
-class WorkSuspects:
-    """Judges requests, and tells local processes of suspected ones.
+class SuspectFilter:
+    """Checks requests and reports suspected ones to local processes.
 
-    :param suspicions: what is known of suspected requests.
+    :param suspicions: suspected and refused requests known here.
     :param caller: connections to local processes.
     """
 
     suspicions: Suspicions
     caller: HttpCaller
 
-    def prepare(self, work: Work, state: UpstreamState) -> None:
-        """Tell a local process what is held against a request, before it runs.
+    def check(self, pending: PendingRequest, state: UpstreamState) -> None:
+        """Refuse a request, or report a suspected one before it runs.
 
-        :param work: the request.
-        :param state: where it goes.
-        :raises Refusal: when upstreams end because of it.
+        :param pending: the request.
+        :param state: the upstream that it is sent to.
+        :raises Refusal: when the request crashes upstreams.
         """
-        standing = self._judge(work)
+        standing = self._judge(pending)
         if standing is Standing.refused:
             raise Refusal(
                 ErrorKind.ends_upstreams,
                 'upstreams end when they run it',
-                ran=Ran.unknown if work.may_have_run else Ran.no,
+                ran=Ran.unknown if pending.may_have_run else Ran.no,
             )
         if standing is not Standing.free:
             exchange_suspicions(self.caller, state.address, self.suspicions)
 
-    def learn(self, work: Work, state: UpstreamState) -> None:
-        """Learn from a local process whether its upstream ended.
+    def refresh(self, pending: PendingRequest, state: UpstreamState) -> None:
+        """Get from a local process whether its upstream crashed.
 
-        :param work: what was lost there.
-        :param state: where it was.
+        :param pending: the request that was lost there.
+        :param state: the upstream that it was sent to.
         """
-        work.name_content()
+        pending.compute_fingerprint()
         exchange_suspicions(self.caller, state.address, self.suspicions)
 
-    def _judge(self, work: Work) -> Standing:
+    def _judge(self, pending: PendingRequest) -> Standing:
         if self.suspicions.is_empty:
             return Standing.free
-        return self.suspicions.judge(work.name_content(), NO_VERSION)
+        return self.suspicions.judge(pending.compute_fingerprint(), NO_VERSION)
--- a/tests/entry/test_forward.py
+++ b/tests/entry/test_forward.py
@@ -1,4 +1,4 @@
-"""What a caller is told when no try of its request went well."""
+"""Refusals that callers get when every attempt of a request failed."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from result import Err
 
 from tests.builders import build_upstream
-from wigeonpier.entry.forward import Forwarder, Work
-from wigeonpier.entry.suspects import WorkSuspects
+from wigeonpier.entry.forward import Forwarder, PendingRequest
+from wigeonpier.entry.suspects import SuspectFilter
 from wigeonpier.errors import Ran, Refusal
 from wigeonpier.membership.directory import Directory, Member
 from wigeonpier.membership.messages import Heartbeat, Role
@@ -31,20 +31,20 @@
 
 
 class FailingCaller:
-    """Connections that fail one way after the other."""
+    """Connections whose calls fail with the given failures, in order."""
 
     def __init__(self, failures: list[CallFailure]) -> None:
         self.failures = list(failures)
-        self.met: list[CallFailure] = []
+        self.returned: list[CallFailure] = []
         self.addresses: list[str] = []
 
     def open(self, address: str, *_details, **_options):
         self.addresses.append(address)
-        self.met.append(self.failures.pop(0))
-        return Err(self.met[-1])
+        self.returned.append(self.failures.pop(0))
+        return Err(self.returned[-1])
 
     def call(self, *_details, **_options):
-        """Nobody tells what is known of suspected requests."""
+        """Fail every exchange of suspected requests."""
         return Err(CallFailure.lost)
 
 
@@ -55,7 +55,7 @@
         address = f'10.0.0.{number}:1'
         state = build_upstream(name, address=address)
         directory.upstreams[name] = state
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             name=name,
             boot='b',
             role=Role.local,
@@ -64,13 +64,13 @@
             is_leaving=False,
             version=1,
         )
-        directory.members[name] = Member(beat, time.monotonic())
+        directory.members[name] = Member(heartbeat, time.monotonic())
     return directory
 
 
-def _make_work(*, is_idempotent: bool) -> Work:
+def _make_request(*, is_idempotent: bool) -> PendingRequest:
     request = Request('POST', '/x', '', {}, io.BytesIO(), identity='r-1')
-    return Work(
+    return PendingRequest(
         request,
         '/x',
         b'',
@@ -81,24 +81,26 @@
 
 
 @given(FAILURES, st.booleans(), st.integers(1, 3))
-def test_a_refusal_speaks_for_all_tries(failures, is_idempotent, count) -> None:
+def test_refusal_reports_the_outcome_of_all_attempts(
+    failures, is_idempotent, count
+) -> None:
     caller = FailingCaller(failures)
     forwarder = Forwarder(
         _make_directory(count),
         caller,
         Metrics(),
         random.Random(1),
-        WorkSuspects(Suspicions(), caller),
+        SuspectFilter(Suspicions(), caller),
     )
-    work = _make_work(is_idempotent=is_idempotent)
+    pending = _make_request(is_idempotent=is_idempotent)
     with pytest.raises(Refusal) as caught:
-        forwarder.send(work)
-    may_have_run = CallFailure.lost in caller.met
+        forwarder.send(pending)
+    may_have_run = CallFailure.lost in caller.returned
     assert (caught.value.ran is Ran.unknown) == may_have_run
     assert len(set(caller.addresses)) == len(caller.addresses)
     if not is_idempotent:
-        assert caller.met.count(CallFailure.lost) <= 1
-        assert CallFailure.lost not in caller.met[:-1]
+        assert caller.returned.count(CallFailure.lost) <= 1
+        assert CallFailure.lost not in caller.returned[:-1]
     assert all(
         state.in_hand == 0 for state in forwarder.directory.upstreams.values()
     )
