--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -14,11 +14,11 @@
 from wigeonpier.entry.admin import AdminHandler
 from wigeonpier.entry.board import JobBoard
 from wigeonpier.entry.configuration import ConfigurationHandler
-from wigeonpier.entry.copies import CopyKeeper
+from wigeonpier.entry.copies import CopyRepairer
 from wigeonpier.entry.files import FileHandler
+from wigeonpier.entry.finalizer import JobFinalizer
 from wigeonpier.entry.forward import Forwarder
 from wigeonpier.entry.jobs import JobHandler
-from wigeonpier.entry.keeper import JobKeeper
 from wigeonpier.entry.limitcalls import LIMIT_PATH, make_fleet
 from wigeonpier.entry.limits import CustomerLimits
 from wigeonpier.entry.online import OnlineHandler
@@ -92,8 +92,8 @@
     :param ring: customers by key.
     :param configuration: accepts configurations.
     :param reporter: heartbeats to the other entries.
-    :param keeper: brings jobs to their end.
-    :param copies: makes lost copies again.
+    :param finalizer: finalizes jobs.
+    :param copies: replaces lost copies.
     :param views: what is watched in the key-value service.
     :param server: listener for callers and peers.
     :param admin: listener for operators.
@@ -109,8 +109,8 @@
     ring: KeyRing
     configuration: ConfigurationHandler
     reporter: Reporter
-    keeper: JobKeeper
-    copies: CopyKeeper
+    finalizer: JobFinalizer
+    copies: CopyRepairer
     views: tuple[PrefixView, ...]
     server: Server
     admin: Server
@@ -126,7 +126,7 @@
         self.reporter.on_reply = self._take_reply
         for view in self.views:
             view.start()
-        for controller in (self.keeper, self.copies, self.reporter):
+        for controller in (self.finalizer, self.copies, self.reporter):
             controller.start()
         spawn_loop('vm list', lambda: _watch_vms(self))
         spawn_loop('limits', lambda: _report_tokens(self))
@@ -225,7 +225,7 @@
     configuration = ConfigurationHandler(parts.platform, parts.holder)
     board.address = server.address
     admin = _build_admin(parts, AdminHandler(configuration, directory, desk))
-    keeper = JobKeeper(
+    finalizer = JobFinalizer(
         board,
         directory,
         disks,
@@ -242,8 +242,8 @@
         ring=ring,
         configuration=configuration,
         reporter=reporter,
-        keeper=keeper,
-        copies=CopyKeeper(parts.platform, disks, directory, server.address),
+        finalizer=finalizer,
+        copies=CopyRepairer(parts.platform, disks, directory, server.address),
         views=_make_views(parts, board),
         server=server,
         admin=admin,
--- a/src/wigeonpier/entry/board.py
+++ b/src/wigeonpier/entry/board.py
@@ -1,4 +1,4 @@
-"""What an entry knows of jobs and claims, and the work it offers."""
+"""Keeps an entry's view of unfinished jobs and offers their chunks."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
     from wigeonpier.platform.port import Change
 
-OFFER_SECONDS = 2.0
+OFFER_HOLD_SECONDS = 2.0
 SILENCE_SECONDS = 3.0
-MOST_OFFERS = 4
-RATE_MEMORY = 0.95
-FIRST_RATE = 10.0
+MAX_OFFERS = 4
+RATE_SMOOTHING = 0.95
+INITIAL_ITEMS_PER_SECOND = 10.0
 
 
 @dataclass(frozen=True, slots=True)
-class HeldClaim:
+class CachedClaim:
     """A claim as seen in the key-value service.
 
     :param claim: the claim.
     :param revision: revision of its key.
-    :param seen: monotonic seconds.
+    :param seen: when this revision was seen, monotonic seconds.
     """
 
     claim: Claim
@@ -41,43 +41,43 @@
 
 
 @dataclass(slots=True)
-class HeldJob:
+class CachedJob:
     """A job as seen in the key-value service.
 
     :param job: the job.
     :param revision: revision of its key.
-    :param seen: monotonic seconds.
+    :param seen: when it was first seen, monotonic seconds.
     :param claims: claims of its chunks by index.
     """
 
     job: Job
     revision: int
     seen: float
-    claims: dict[int, HeldClaim] = field(default_factory=dict)
+    claims: dict[int, CachedClaim] = field(default_factory=dict)
 
     @property
     def items_done(self) -> int:
-        """Count items of chunks that are done."""
+        """Count the items of chunks that are done."""
         return sum(
             self.job.pages[index]
-            for index, held in self.claims.items()
-            if held.claim.is_done
+            for index, cached in self.claims.items()
+            if cached.claim.is_done
         )
 
     @property
     def items_claimed(self) -> int:
-        """Count items of chunks that have an owner and are not done."""
+        """Count the items of chunks that have an owner and are not done."""
         return sum(
             self.job.pages[index]
-            for index, held in self.claims.items()
-            if not held.claim.is_done and held.claim.owner
+            for index, cached in self.claims.items()
+            if not cached.claim.is_done and cached.claim.owner
         )
 
     @property
     def is_all_done(self) -> bool:
-        """Tell whether each chunk is done."""
+        """Check whether every chunk is done."""
         return len(self.claims) == len(self.job.pages) and all(
-            held.claim.is_done for held in self.claims.values()
+            cached.claim.is_done for cached in self.claims.values()
         )
 
 
@@ -85,32 +85,34 @@
 class JobBoard:
     """Jobs that are not finished.
 
-    :param clock: gives monotonic seconds.
-    :param weights: gives the share of each customer.
-    :param list_entries: gives the addresses of live entries.
-    :param address: this entry's.
-    :param jobs: by id.
-    :param ages: silence of segments as the data folders told, by job,
-        chunk and fencing number: seconds, and when it was told.
-    :param items_per_second: what the fleet finishes, as seen here.
+    :param clock: returns monotonic seconds.
+    :param weights: returns the share of each customer.
+    :param list_entries: returns the addresses of live entries.
+    :param address: address of this entry.
+    :param jobs: jobs by id.
+    :param ages: seconds since the last write to each segment as the data
+        folders reported, and when they did, by job, chunk and fencing number.
+    :param items_per_second: estimated throughput of the fleet.
     """
 
     clock: Callable[[], float]
     weights: Callable[[], dict[str, float]]
     list_entries: Callable[[], list[str]] = list
     address: str = ''
-    jobs: dict[str, HeldJob] = field(default_factory=dict)
+    jobs: dict[str, CachedJob] = field(default_factory=dict)
     ages: dict[tuple[str, int, int], tuple[float, float]] = field(
         default_factory=dict,
     )
-    items_per_second: float = FIRST_RATE
-    _orphans: dict[tuple[str, int], HeldClaim] = field(default_factory=dict)
-    _offered: dict[tuple[str, int], float] = field(default_factory=dict)
+    items_per_second: float = INITIAL_ITEMS_PER_SECOND
+    _early_claims: dict[tuple[str, int], CachedClaim] = field(
+        default_factory=dict
+    )
+    _offered_at: dict[tuple[str, int], float] = field(default_factory=dict)
 
     def note_job(self, change: Change) -> None:
-        """Take in a change of a job's key.
+        """Apply a change of a job's key.
 
-        :param change: what the watch saw.
+        :param change: change that the watch reported.
         """
         _customer, job_id = change.key.removeprefix(JOBS).split('/')
         job = None
@@ -119,37 +121,37 @@
         if job is None or job.status in ENDED:
             self.jobs.pop(job_id, None)
             return
-        held = self.jobs.get(job_id)
-        if held is None:
-            held = HeldJob(job, change.revision, self.clock())
-            self.jobs[job_id] = held
-            self._adopt_orphans(held)
-        elif change.revision > held.revision:
-            held.job = job
-            held.revision = change.revision
+        cached = self.jobs.get(job_id)
+        if cached is None:
+            cached = CachedJob(job, change.revision, self.clock())
+            self.jobs[job_id] = cached
+            self._attach_early_claims(cached)
+        elif change.revision > cached.revision:
+            cached.job = job
+            cached.revision = change.revision
 
     def note_claim(self, change: Change) -> None:
-        """Take in a change of a claim's key.
+        """Apply a change of a claim's key.
 
-        :param change: what the watch saw.
+        :param change: change that the watch reported.
         """
         job_id, index = parse_chunk(change.key)
-        self._offered.pop((job_id, index), None)
-        held_job = self.jobs.get(job_id)
+        self._offered_at.pop((job_id, index), None)
+        cached_job = self.jobs.get(job_id)
         if change.value is None:
-            self._orphans.pop((job_id, index), None)
-            if held_job:
-                held_job.claims.pop(index, None)
+            self._early_claims.pop((job_id, index), None)
+            if cached_job:
+                cached_job.claims.pop(index, None)
             return
         claim = msgspec.json.decode(change.value, type=Claim)
-        held = HeldClaim(claim, change.revision, self.clock())
-        if held_job is None:
-            self._orphans[job_id, index] = held
+        cached = CachedClaim(claim, change.revision, self.clock())
+        if cached_job is None:
+            self._early_claims[job_id, index] = cached
         else:
-            held_job.claims[index] = held
+            cached_job.claims[index] = cached
 
     def note_age(self, name: tuple[str, int, int], age: float) -> None:
-        """Take in how long a segment has been silent.
+        """Record the time since the last write to a segment.
 
         :param name: job, chunk and fencing number.
         :param age: seconds.
@@ -159,39 +161,41 @@
         if known is None or now - age > known[1] - known[0]:
             self.ages[name] = (age, now)
 
-    def forget_ages(self) -> None:
-        """Drop ages of segments of jobs that are not held."""
+    def remove_ages(self) -> None:
+        """Remove the ages of segments whose jobs are not on the board."""
         self.ages = {
-            name: told
-            for name, told in self.ages.items()
+            name: known
+            for name, known in self.ages.items()
             if name[0] in self.jobs
         }
 
-    def measure_silence(self, job: str, index: int, held: HeldClaim) -> float:
-        """Tell how long an owner has shown no sign of life.
+    def measure_silence(
+        self, job: str, index: int, cached: CachedClaim
+    ) -> float:
+        """Measure the time since the last activity of a chunk's owner.
 
         :param job: id of the job.
         :param index: index of the chunk.
-        :param held: its claim.
+        :param cached: its claim.
         :returns: seconds.
         """
         now = self.clock()
-        since_claim = now - held.seen
-        known = self.ages.get((job, index, held.claim.fence))
+        since_claim = now - cached.seen
+        known = self.ages.get((job, index, cached.claim.fence))
         if known is None:
             return since_claim
-        age, told = known
-        return min(since_claim, age + now - told)
+        age, reported_at = known
+        return min(since_claim, age + now - reported_at)
 
-    def list_stopped(self, held: tuple[str, ...]) -> tuple[str, ...]:
-        """Tell which jobs of an owner were cancelled.
+    def list_stopped(self, job_ids: tuple[str, ...]) -> tuple[str, ...]:
+        """List the jobs of an owner that were cancelled.
 
-        :param held: ids of jobs.
-        :returns: those whose work has to stop.
+        :param job_ids: jobs that the owner works on.
+        :returns: ids of jobs whose work has to stop.
         """
         return tuple(
             job
-            for job in held
+            for job in job_ids
             if job in self.jobs
             and self.jobs[job].job.status is not JobStatus.in_progress
         )
@@ -199,40 +203,41 @@
     def offer_work(self, heartbeat: Heartbeat) -> tuple[Offer, ...]:
         """Choose chunks for a local process that wants work.
 
-        :param heartbeat: what it said of itself.
-        :returns: offers for about the items that it wants.
+        :param heartbeat: heartbeat of the process.
+        :returns: offers for about as many items as it wants.
         """
         report = heartbeat.upstream
         if not heartbeat.wants or report is None or heartbeat.is_leaving:
             return ()
-        fitting = {
-            held.job.id: held
-            for held in self.jobs.values()
-            if held.job.status is JobStatus.in_progress
-            and held.job.service == report.service
-            and (not held.job.model or held.job.model in report.models)
+        eligible = {
+            cached.job.id: cached
+            for cached in self.jobs.values()
+            if cached.job.status is JobStatus.in_progress
+            and cached.job.service == report.service
+            and (not cached.job.model or cached.job.model in report.models)
         }
         offers: list[Offer] = []
-        room = heartbeat.wants
-        for job_id in self._order(fitting):
-            for offer in self._iterate_offers(fitting[job_id]):
-                if room <= 0 or len(offers) >= MOST_OFFERS:
+        remaining = heartbeat.wants
+        for job_id in self._order(eligible):
+            for offer in self._iterate_offers(eligible[job_id]):
+                if remaining <= 0 or len(offers) >= MAX_OFFERS:
                     return tuple(offers)
                 offers.append(offer)
-                self._offered[job_id, offer.chunk] = self.clock()
-                room -= fitting[job_id].job.pages[offer.chunk]
+                self._offered_at[job_id, offer.chunk] = self.clock()
+                remaining -= eligible[job_id].job.pages[offer.chunk]
         return tuple(offers)
 
     def note_rate(self, items: int, seconds: float) -> None:
-        """Learn what the fleet finishes.
+        """Update the estimated throughput of the fleet.
 
         :param items: items that were finished.
-        :param seconds: in this time.
+        :param seconds: time that they took.
         """
         rate = items / seconds
         self.items_per_second = max(
             1,
-            RATE_MEMORY * self.items_per_second + (1 - RATE_MEMORY) * rate,
+            RATE_SMOOTHING * self.items_per_second
+            + (1 - RATE_SMOOTHING) * rate,
         )
 
     def count_queued(self, customer: str) -> int:
@@ -242,22 +247,22 @@
         :returns: items.
         """
         return sum(
-            held.job.items - held.items_done
-            for held in self.jobs.values()
-            if held.job.customer == customer
+            cached.job.items - cached.items_done
+            for cached in self.jobs.values()
+            if cached.job.customer == customer
         )
 
-    def _order(self, fitting: dict[str, HeldJob]) -> list[str]:
+    def _order(self, eligible: dict[str, CachedJob]) -> list[str]:
         views = [
             JobView(
-                job=held.job.id,
-                customer=held.job.customer,
-                accepted=held.job.created,
-                deadline=held.job.deadline,
-                items_left=held.job.items - held.items_done,
-                items_running=held.items_claimed,
+                job=cached.job.id,
+                customer=cached.job.customer,
+                accepted=cached.job.created,
+                deadline=cached.job.deadline,
+                items_left=cached.job.items - cached.items_done,
+                items_running=cached.items_claimed,
             )
-            for held in fitting.values()
+            for cached in eligible.values()
         ]
         return order_jobs(
             views,
@@ -266,48 +271,48 @@
             self.items_per_second,
         )
 
-    def _iterate_offers(self, held_job: HeldJob) -> Iterator[Offer]:
-        job = held_job.job
+    def _iterate_offers(self, cached_job: CachedJob) -> Iterator[Offer]:
+        job = cached_job.job
         now = self.clock()
         for index in self._order_chunks(job):
-            held = held_job.claims.get(index)
-            offered = self._offered.get((job.id, index))
-            if offered is not None and now - offered < OFFER_SECONDS:
+            cached = cached_job.claims.get(index)
+            offered = self._offered_at.get((job.id, index))
+            if offered is not None and now - offered < OFFER_HOLD_SECONDS:
                 continue
-            if held is None:
+            if cached is None:
                 yield Offer(job=job, chunk=index, revision=0)
-            elif self._is_free(job.id, index, held):
+            elif self._is_free(job.id, index, cached):
                 yield Offer(
                     job=job,
                     chunk=index,
-                    revision=held.revision,
-                    claim=held.claim,
+                    revision=cached.revision,
+                    claim=cached.claim,
                 )
 
     def _order_chunks(self, job: Job) -> list[int]:
-        """Put this entry's part of the chunks first.
+        """Order chunks with this entry's share of them first.
 
-        Entries that offered in one order would send their local processes
-        after the same claims.
+        If all entries offered chunks in the same order, their local processes
+        would compete for the same claims.
         """
         entries = self.list_entries()
-        place = entries.index(self.address) if self.address in entries else 0
+        position = entries.index(self.address) if self.address in entries else 0
         count = max(1, len(entries))
         return sorted(
             range(len(job.pages)),
-            key=lambda index: (index % count != place, index),
+            key=lambda index: (index % count != position, index),
         )
 
-    def _is_free(self, job: str, index: int, held: HeldClaim) -> bool:
-        if held.claim.is_done:
+    def _is_free(self, job: str, index: int, cached: CachedClaim) -> bool:
+        if cached.claim.is_done:
             return False
-        if not held.claim.owner:
+        if not cached.claim.owner:
             return True
-        return self.measure_silence(job, index, held) > SILENCE_SECONDS
-
-    def _adopt_orphans(self, held_job: HeldJob) -> None:
-        job_id = held_job.job.id
-        for index, _items in enumerate(held_job.job.pages):
-            held = self._orphans.pop((job_id, index), None)
-            if held is not None:
-                held_job.claims[index] = held
+        return self.measure_silence(job, index, cached) > SILENCE_SECONDS
+
+    def _attach_early_claims(self, cached_job: CachedJob) -> None:
+        job_id = cached_job.job.id
+        for index, _items in enumerate(cached_job.job.pages):
+            cached = self._early_claims.pop((job_id, index), None)
+            if cached is not None:
+                cached_job.claims[index] = cached
--- a/src/wigeonpier/entry/copies.py
+++ b/src/wigeonpier/entry/copies.py
@@ -1,4 +1,4 @@
-"""Makes lost copies of files and results again on other data folders."""
+"""Replaces lost copies of files and results on other data folders."""
 
 from __future__ import annotations
 
@@ -26,177 +26,178 @@
     from wigeonpier.membership.directory import Directory
     from wigeonpier.platform.port import Entry, Platform
 
-    Mender = Callable[[Entry, str], bytes | None]
+    Repair = Callable[[Entry, str], bytes | None]
 
-PERIOD_SECONDS = 2.0
-AGAIN_SECONDS = 60.0
+SCAN_PERIOD_SECONDS = 2.0
+RESCAN_SECONDS = 60.0
 
-Holder = FileRecord | Job
+PagedRecord = FileRecord | Job
 
 
-class NotCopiedError(Exception):
-    """A copy that cannot be made now; it is tried again later."""
+class CopyError(Exception):
+    """A copy that cannot be made now; a later scan tries again."""
 
 
 @dataclass(slots=True)
-class CopyKeeper:
-    """Looks for records that name a folder that is gone.
+class CopyRepairer:
+    """Repairs records that refer to a data folder that is gone.
 
-    Each gone folder has one entry that acts, by rendezvous.  Records are
+    Rendezvous hashing chooses one entry for each gone folder.  Records are
     replaced by compare-and-swap, so that acting twice is harmless.
 
     :param platform: the port.
     :param disks: reaches data folders.
-    :param directory: which folders are there and which are gone.
-    :param address: this entry.
+    :param directory: available and gone folders.
+    :param address: address of this entry.
     """
 
     platform: Platform
     disks: DiskClient
     directory: Directory
     address: str
-    _swept: dict[str, float] = field(default_factory=dict)
+    _next_scan: dict[str, float] = field(default_factory=dict)
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the loop in the background."""
         spawn_loop('copies', self._run)
 
-    def sweep(self, gone: str) -> int:
-        """Make every copy again that a folder held.
+    def repair_records(self, gone: str) -> int:
+        """Replace every copy that a folder had and update the records.
 
         :param gone: incarnation of the folder.
-        :returns: records that could not be mended now.
+        :returns: number of records that could not be repaired now.
         """
         return (
-            self._mend_all(keys.FILES, gone, self._mend_file)
-            + self._mend_all(keys.JOBS, gone, self._mend_job)
-            + self._mend_all(keys.CHUNKS, gone, self._mend_claim)
-            + self._mend_all(keys.RESULTS, gone, self._mend_finished)
+            self._repair_prefix(keys.FILES, gone, self._repair_file)
+            + self._repair_prefix(keys.JOBS, gone, self._repair_job)
+            + self._repair_prefix(keys.CHUNKS, gone, self._repair_claim)
+            + self._repair_prefix(keys.RESULTS, gone, self._repair_finished)
         )
 
     def _run(self) -> None:
-        gevent.sleep(PERIOD_SECONDS)
+        gevent.sleep(SCAN_PERIOD_SECONDS)
         now = self.directory.clock()
         for gone in self.directory.list_gone():
-            due = self._swept.get(gone, 0)
-            if now >= due and self._is_my_turn(gone):
-                left = self.sweep(gone)
-                # A record may still come that was written before the loss
-                # was known, so that a folder is swept again from time to
-                # time.
-                pause = PERIOD_SECONDS if left else AGAIN_SECONDS
-                self._swept[gone] = self.directory.clock() + pause
-
-    def _is_my_turn(self, gone: str) -> bool:
+            due = self._next_scan.get(gone, 0)
+            if now >= due and self._is_responsible(gone):
+                failed = self.repair_records(gone)
+                # A record can be written after the loss by a process that
+                # does not know of it, so the scan is repeated.
+                pause = SCAN_PERIOD_SECONDS if failed else RESCAN_SECONDS
+                self._next_scan[gone] = self.directory.clock() + pause
+
+    def _is_responsible(self, gone: str) -> bool:
         entries = self.directory.list_entries()
         return not entries or rank_by_key(entries, gone)[0] == self.address
 
-    def _mend_all(self, prefix: str, gone: str, mend: Mender) -> int:
+    def _repair_prefix(self, prefix: str, gone: str, repair: Repair) -> int:
         listed = self.platform.list_prefix(prefix)
         if isinstance(listed, Err):
             return 1
-        named = [
+        affected = [
             entry
             for entry in listed.ok_value.entries
             if gone.encode() in entry.value
         ]
-        return sum(not self._try_to_mend(entry, gone, mend) for entry in named)
+        return sum(
+            not self._try_to_repair(entry, gone, repair) for entry in affected
+        )
 
-    def _try_to_mend(self, entry: Entry, gone: str, mend: Mender) -> bool:
+    def _try_to_repair(self, entry: Entry, gone: str, repair: Repair) -> bool:
         try:
-            fresh = mend(entry, gone)
-        except NotCopiedError as problem:
+            value = repair(entry, gone)
+        except CopyError as problem:
             log_event(Event.copy_lost, key=entry.key, problem=str(problem))
             return False
-        if fresh is None:
+        if value is None:
             return True
-        wrote = self.platform.swap(entry.key, fresh, entry.revision)
+        wrote = self.platform.swap(entry.key, value, entry.revision)
         if isinstance(wrote, Ok):
             log_event(Event.copy_restored, key=entry.key, gone=gone)
         return isinstance(wrote, Ok)
 
-    def _mend_file(self, entry: Entry, gone: str) -> bytes | None:
+    def _repair_file(self, entry: Entry, gone: str) -> bytes | None:
         record = msgspec.json.decode(entry.value, type=FileRecord)
-        return self._mend_pages(record, record.id, gone)
+        return self._repair_pages(record, record.id, gone)
 
-    def _mend_job(self, entry: Entry, gone: str) -> bytes | None:
+    def _repair_job(self, entry: Entry, gone: str) -> bytes | None:
         job = msgspec.json.decode(entry.value, type=Job)
-        return self._mend_pages(job, job.file, gone)
+        return self._repair_pages(job, job.file, gone)
 
-    def _mend_claim(self, entry: Entry, gone: str) -> bytes | None:
+    def _repair_claim(self, entry: Entry, gone: str) -> bytes | None:
         claim = msgspec.json.decode(entry.value, type=Claim)
         if not claim.is_done:
-            # Its owner goes on in other folders by itself.
+            # The owner moves its journal to other folders by itself.
             return None
         job, index = keys.parse_chunk(entry.key)
-        segment = self._mend_segment(job, index, claim.segments[-1], gone)
-        mended = msgspec.structs.replace(
+        segment = self._repair_segment(job, index, claim.segments[-1], gone)
+        repaired = msgspec.structs.replace(
             claim,
             token=draw_token(),
             segments=(segment,),
         )
-        return msgspec.json.encode(mended)
+        return msgspec.json.encode(repaired)
 
-    def _mend_finished(self, entry: Entry, gone: str) -> bytes | None:
+    def _repair_finished(self, entry: Entry, gone: str) -> bytes | None:
         finished = msgspec.json.decode(entry.value, type=FinishedJob)
         job = finished.job.id
         chunks = tuple(
             DoneChunk(
                 chunk.index,
-                self._mend_segment(job, chunk.index, chunk.segment, gone),
+                self._repair_segment(job, chunk.index, chunk.segment, gone),
             )
             for chunk in finished.chunks
         )
         copies = finished.job.copies
         if gone in copies:
             copies = self._copy_pages(finished.job, finished.job.file, gone)
-        moved = msgspec.structs.replace(finished.job, copies=copies)
+        repaired_job = msgspec.structs.replace(finished.job, copies=copies)
         return msgspec.json.encode(
-            msgspec.structs.replace(finished, job=moved, chunks=chunks),
+            msgspec.structs.replace(finished, job=repaired_job, chunks=chunks),
         )
 
-    def _mend_pages(
+    def _repair_pages(
         self,
-        holder: Holder,
+        record: PagedRecord,
         file_id: str,
         gone: str,
     ) -> bytes | None:
-        if gone not in holder.copies:
+        if gone not in record.copies:
             return None
-        copies = self._copy_pages(holder, file_id, gone)
+        copies = self._copy_pages(record, file_id, gone)
         return msgspec.json.encode(
-            msgspec.structs.replace(holder, copies=copies),
+            msgspec.structs.replace(record, copies=copies),
         )
 
     def _copy_pages(
         self,
-        holder: Holder,
+        record: PagedRecord,
         file_id: str,
         gone: str,
     ) -> tuple[str, ...]:
-        rest, target = self._choose_target(holder.copies, gone, file_id)
-        for index, _lines in enumerate(holder.pages):
-            self._copy_page(rest, target, file_id, index)
-        return (*rest, target)
+        remaining, target = self._choose_target(record.copies, gone, file_id)
+        for index, _lines in enumerate(record.pages):
+            self._copy_page(remaining, target, file_id, index)
+        return (*remaining, target)
 
     def _copy_page(
         self,
-        rest: tuple[str, ...],
+        remaining: tuple[str, ...],
         target: str,
         file_id: str,
         index: int,
     ) -> None:
         page = read_first(
-            rest,
+            remaining,
             lambda copy: self.disks.read_page(copy, file_id, index),
         )
         if page is None:
-            raise NotCopiedError('no copy of a page answers')
+            raise CopyError('no copy of a page answers')
         wrote = self.disks.write_page(target, file_id, index, page)
         if isinstance(wrote, Err):
-            raise NotCopiedError('the new folder took no page')
+            raise CopyError('the new folder took no page')
 
-    def _mend_segment(
+    def _repair_segment(
         self,
         job: str,
         index: int,
@@ -206,21 +207,21 @@
         if gone not in segment.copies:
             return segment
         name = (job, index, segment.fence)
-        rest, target = self._choose_target(
+        remaining, target = self._choose_target(
             segment.copies,
             gone,
             f'{job}/{index}',
         )
         content = read_first(
-            rest,
+            remaining,
             lambda copy: self.disks.read_segment(copy, name),
         )
         if content is None:
-            raise NotCopiedError('no copy of a segment answers')
+            raise CopyError('no copy of a segment answers')
         wrote = self.disks.append(target, name, 0, content)
         if isinstance(wrote, Err):
-            raise NotCopiedError('the new folder took no segment')
-        return Segment(segment.fence, (*rest, target))
+            raise CopyError('the new folder took no segment')
+        return Segment(segment.fence, (*remaining, target))
 
     def _choose_target(
         self,
@@ -228,13 +229,17 @@
         gone: str,
         key: str,
     ) -> tuple[tuple[str, ...], str]:
-        """Choose a folder, in a data centre of its own where there is one."""
-        rest = tuple(copy for copy in copies if copy != gone)
+        """Choose a folder, in an unused data centre where there is one."""
+        remaining = tuple(copy for copy in copies if copy != gone)
         disks = self.directory.list_disks()
-        near = {disk.data_centre for disk in disks if disk.incarnation in rest}
-        free = [disk for disk in disks if disk.incarnation not in rest]
-        apart = [disk for disk in free if disk.data_centre not in near]
-        chosen = choose_copies(apart or free, key, 1)
+        used_centres = {
+            disk.data_centre for disk in disks if disk.incarnation in remaining
+        }
+        free = [disk for disk in disks if disk.incarnation not in remaining]
+        separate = [
+            disk for disk in free if disk.data_centre not in used_centres
+        ]
+        chosen = choose_copies(separate or free, key, 1)
         if not chosen:
-            raise NotCopiedError('no other folder is in reach')
-        return rest, chosen[0].incarnation
+            raise CopyError('no other folder is in reach')
+        return remaining, chosen[0].incarnation
--- a/src/wigeonpier/entry/keeper.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -1,4 +1,4 @@
-"""Brings jobs to their end: cancels, finishes, clears away."""
+"""Finalizes jobs: ends cancelled ones, writes results, deletes claims."""
 
 from __future__ import annotations
 
@@ -43,28 +43,28 @@
 
     from wigeonpier.batch.models import Job
     from wigeonpier.disk.client import DiskClient
-    from wigeonpier.entry.board import HeldJob, JobBoard
+    from wigeonpier.entry.board import CachedJob, JobBoard
     from wigeonpier.membership.directory import Directory
 
-PERIOD_SECONDS = 0.5
-AGES_SECONDS = 1.0
-STAND_IN_SECONDS = 5.0
-WRITE_SECONDS = 8.0
+SCAN_PERIOD_SECONDS = 0.5
+AGE_POLL_SECONDS = 1.0
+STANDBY_SECONDS = 5.0
+WRITE_TIMEOUT_SECONDS = 8.0
 
 
 @dataclass(slots=True)
-class JobKeeper:
-    """Looks after all jobs, together with the other entries.
+class JobFinalizer:
+    """Finalizes jobs together with the other entries.
 
-    Each job has one entry that acts at once, by rendezvous; the others act
-    only when nothing has happened for a while.  Acting twice is harmless,
-    since every step is a compare-and-swap.
+    Rendezvous hashing chooses one entry for each job, which acts at once; the
+    others act only when the job is still there some seconds later.  Acting
+    twice is harmless, since every step is a compare-and-swap.
 
     :param board: jobs and claims.
     :param directory: live entries and data folders.
     :param disks: reaches data folders.
-    :param workshop: gives what owners of chunks use now.
-    :param address: this entry.
+    :param workshop: returns what owners of chunks use now.
+    :param address: address of this entry.
     """
 
     board: JobBoard
@@ -72,47 +72,47 @@
     disks: DiskClient
     workshop: Callable[[], Workshop]
     address: str
-    _seen_since: dict[str, float] = field(default_factory=dict)
-    _attending: set[str] = field(default_factory=set)
+    _first_seen: dict[str, float] = field(default_factory=dict)
+    _handling: set[str] = field(default_factory=set)
 
     def start(self) -> None:
-        """Begin to look after jobs."""
+        """Start the loops in the background."""
         spawn_loop('jobs', self._run)
         spawn_loop('ages', self._poll_ages)
 
     def _run(self) -> None:
-        gevent.sleep(PERIOD_SECONDS)
-        for held in list(self.board.jobs.values()):
-            if held.job.id not in self._attending:
-                self._attending.add(held.job.id)
-                gevent.spawn(self._attend, held)
+        gevent.sleep(SCAN_PERIOD_SECONDS)
+        for cached in list(self.board.jobs.values()):
+            if cached.job.id not in self._handling:
+                self._handling.add(cached.job.id)
+                gevent.spawn(self._handle, cached)
 
-    def _attend(self, held: HeldJob) -> None:
+    def _handle(self, cached: CachedJob) -> None:
         try:
-            if held.job.status is JobStatus.cancelling:
-                if self._is_my_turn(held.job.id):
-                    self._end_cancelled(held)
-            elif held.is_all_done and self._is_my_turn(held.job.id):
-                self._finish(held, JobStatus.completed)
+            if cached.job.status is JobStatus.cancelling:
+                if self._is_responsible(cached.job.id):
+                    self._finish_cancelled(cached)
+            elif cached.is_all_done and self._is_responsible(cached.job.id):
+                self._finish(cached, JobStatus.completed)
         except (ChunkProblemError, JournalEndedError) as problem:
             log_event(
                 Event.chunk_failed,
-                job=held.job.id,
+                job=cached.job.id,
                 problem=str(problem),
             )
         finally:
-            self._attending.discard(held.job.id)
+            self._handling.discard(cached.job.id)
 
-    def _is_my_turn(self, job: str) -> bool:
+    def _is_responsible(self, job: str) -> bool:
         entries = self.directory.list_entries()
         if not entries or rank_by_key(entries, job)[0] == self.address:
             return True
-        since = self._seen_since.setdefault(job, time.monotonic())
-        return time.monotonic() - since > STAND_IN_SECONDS
+        first_seen = self._first_seen.setdefault(job, time.monotonic())
+        return time.monotonic() - first_seen > STANDBY_SECONDS
 
-    def _end_cancelled(self, held: HeldJob) -> None:
+    def _finish_cancelled(self, cached: CachedJob) -> None:
         platform = self.workshop().platform
-        listed = platform.list_prefix(keys.name_claims(held.job.id))
+        listed = platform.list_prefix(keys.name_claims(cached.job.id))
         if isinstance(listed, Err):
             return
         claims = {
@@ -123,24 +123,26 @@
             for entry in listed.ok_value.entries
         }
         ended = {
-            index: self._cancel_chunk(held, index, *known)
-            for index, known in claims.items()
+            index: self._cancel_chunk(cached, index, *entry)
+            for index, entry in claims.items()
         }
-        self._write_finished(held, JobStatus.cancelled, ended)
+        self._write_finished(cached, JobStatus.cancelled, ended)
 
     def _cancel_chunk(
         self,
-        held: HeldJob,
+        cached: CachedJob,
         index: int,
         claim: Claim,
         revision: int,
     ) -> Claim:
-        """Fence the owner and give each open item its result."""
+        """Fence the owner and write a result for each open item."""
         if claim.is_done:
             return claim
         workshop = self.workshop()
-        mine, taken = claim_chunk(workshop, held.job, index, claim, revision)
-        chunk = open_chunk(workshop, held.job, index, mine, taken)
+        own_claim, own_revision = claim_chunk(
+            workshop, cached.job, index, claim, revision
+        )
+        chunk = open_chunk(workshop, cached.job, index, own_claim, own_revision)
         with closing(chunk.journal):
             _cancel_items(chunk)
             finished = chunk.finish()
@@ -148,17 +150,20 @@
             raise ChunkProblemError('the cancelled chunk was not written')
         return chunk.claim
 
-    def _finish(self, held: HeldJob, status: JobStatus) -> None:
-        claims = {index: kept.claim for index, kept in held.claims.items()}
-        self._write_finished(held, status, claims)
+    def _finish(self, cached: CachedJob, status: JobStatus) -> None:
+        claims = {
+            index: cached_claim.claim
+            for index, cached_claim in cached.claims.items()
+        }
+        self._write_finished(cached, status, claims)
 
     def _write_finished(
         self,
-        held: HeldJob,
+        cached: CachedJob,
         status: JobStatus,
         claims: dict[int, Claim],
     ) -> None:
-        job = msgspec.structs.replace(held.job, status=status)
+        job = msgspec.structs.replace(cached.job, status=status)
         check_promise(
             all(claim.is_done for claim in claims.values()),
             Promise.exactly_one_result,
@@ -180,18 +185,19 @@
             raw,
             0,
             lambda entry: entry.value == raw,
-            WRITE_SECONDS,
+            WRITE_TIMEOUT_SECONDS,
         )
         if isinstance(wrote, Ok):
             log_event(Event.job_finished, job=job.id, status=status.value)
-            self._keep_on_disks(job, raw)
+            self._store_on_disks(job, raw)
         if isinstance(wrote, Ok) or wrote.err_value is Failure.conflict:
-            self._clear(held)
+            self._mark_ended(cached)
 
-    def _keep_on_disks(self, job: Job, raw: bytes) -> None:
-        """Keep the record beside the data, for when the service is down.
+    def _store_on_disks(self, job: Job, raw: bytes) -> None:
+        """Copy the record to the data folders, to be read without the service.
 
-        Only what won in the service is kept, so that the two never differ.
+        Only the record that the key-value service accepted is copied, so that
+        the two never differ.
         """
         write_everywhere(
             list(job.copies),
@@ -203,29 +209,30 @@
             ),
         )
 
-    def _clear(self, held: HeldJob) -> None:
+    def _mark_ended(self, cached: CachedJob) -> None:
         """Mark a job as ended, then delete its claims.
 
-        The key of the job stays, as a small mark: were it deleted, a process
-        that was paused while it accepted the job could write it again, and
-        all of it would run anew.  The claims go last, since a job without
-        them looks as if nothing of it had run.
+        The key of the job stays, as a small tombstone: if it were deleted, a
+        process that was paused while it accepted the job could create it
+        again, and all items would run a second time.  The claims are deleted
+        last, since a job without claims looks as if no item had run.
         """
         platform = self.workshop().platform
-        job = held.job
+        job = cached.job
         wrote = platform.swap(
             keys.name_job(job.customer, job.id),
             msgspec.json.encode(mark_ended(job)),
-            held.revision,
+            cached.revision,
         )
         if isinstance(wrote, Ok):
-            # One call for all claims; who claims one now finds the mark.
+            # One call deletes all claims.  An owner that claims a chunk now
+            # finds the tombstone.
             platform.delete_prefix(keys.name_claims(job.id))
-            self._seen_since.pop(job.id, None)
+            self._first_seen.pop(job.id, None)
 
     def _poll_ages(self) -> None:
-        gevent.sleep(AGES_SECONDS)
-        self.board.forget_ages()
+        gevent.sleep(AGE_POLL_SECONDS)
+        self.board.remove_ages()
         if self.board.jobs:
             gevent.joinall(
                 [
@@ -235,9 +242,9 @@
             )
 
     def _poll_disk(self, address: str) -> None:
-        for told in self.disks.list_ages(address) or ():
-            name = (told.job, told.chunk, told.fence)
-            self.board.note_age(name, told.age)
+        for segment in self.disks.list_ages(address) or ():
+            name = (segment.job, segment.chunk, segment.fence)
+            self.board.note_age(name, segment.age)
 
 
 def _cancel_items(chunk: Chunk) -> None:
--- a/src/wigeonpier/entry/jobs.py
+++ b/src/wigeonpier/entry/jobs.py
@@ -38,8 +38,8 @@
     from wigeonpier.entry.board import JobBoard
     from wigeonpier.settings.deployment import Deployment
 
-WRITE_SECONDS = 8.0
-CANCEL_TRIES = 8
+WRITE_TIMEOUT_SECONDS = 8.0
+CANCEL_ATTEMPTS = 8
 JOB_ID_BYTES = 12
 HOUR_SECONDS = 3600
 WINDOW_UNITS = MappingProxyType(
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class JobHandler:
-    """What callers do with jobs.
+    """Creates, shows and cancels the jobs of callers.
 
     :param platform: the port.
     :param board: jobs that are not finished.
@@ -67,37 +67,37 @@
     def create(
         self,
         customer: str,
-        asked: BatchRequest,
+        request: BatchRequest,
         idempotency_key: str,
         deployment: Deployment,
     ) -> BatchPage:
-        """Accept a job, or find the one that this request made before.
+        """Accept a job, or find the job that a resent request created.
 
-        :param customer: who asks.
-        :param asked: what is asked for.
-        :param idempotency_key: key of a resend, empty for none.
+        :param customer: name of the customer.
+        :param request: the request for a batch.
+        :param idempotency_key: the caller's Idempotency-Key, empty for none.
         :param deployment: configuration in force.
         :returns: the job.
         """
-        record = self.read_file(customer, asked.input_file_id)
-        digest = _digest_request(asked, record)
-        resend = self._join_resend(
+        record = self.read_file(customer, request.input_file_id)
+        digest = _digest_request(request, record)
+        resend = self._resolve_resend(
             customer,
             f'key:{idempotency_key}' if idempotency_key else f'body:{digest}',
             digest,
             deployment,
         )
-        known = self._find_page(customer, resend.job)
-        if known is not None:
-            return known
-        job = _make_job(resend, asked, record, deployment)
+        existing = self._find_page(customer, resend.job)
+        if existing is not None:
+            return existing
+        job = _make_job(resend, request, record, deployment)
         self._check_queue(customer, job, deployment)
         return self._write_job(job)
 
     def show(self, customer: str, job_id: str) -> BatchPage:
         """Show one job.
 
-        :param customer: who asks.
+        :param customer: name of the customer.
         :param job_id: id of the job.
         :returns: the job.
         :raises Refusal: when the customer has no such job.
@@ -110,26 +110,26 @@
     def list_pages(self, customer: str) -> list[BatchPage]:
         """List the jobs of a customer.
 
-        :param customer: who asks.
+        :param customer: name of the customer.
         :returns: newest first.
         """
         pages = [
-            self._show_held(held.job)
-            for held in self.board.jobs.values()
-            if held.job.customer == customer
+            self._show_unfinished(cached.job)
+            for cached in self.board.jobs.values()
+            if cached.job.customer == customer
         ]
-        running = {page.id for page in pages}
+        unfinished = {page.id for page in pages}
         pages += [
             show_finished(finished)
             for finished in self.list_finished(customer)
-            if finished.job.id not in running
+            if finished.job.id not in unfinished
         ]
         return sorted(pages, key=lambda page: page.created_at, reverse=True)
 
     def list_finished(self, customer: str) -> list[FinishedJob]:
         """Read the finished jobs of a customer.
 
-        :param customer: whose.
+        :param customer: name of the customer.
         :returns: the jobs.
         """
         prefix = keys.name_results(customer, '')
@@ -142,13 +142,13 @@
         ]
 
     def cancel(self, customer: str, job_id: str) -> BatchPage:
-        """Cancel a job; a finished one stays as it is.
+        """Cancel a job; a finished one is not changed.
 
-        :param customer: who asks.
+        :param customer: name of the customer.
         :param job_id: id of the job.
         :returns: the job.
         """
-        for _ in range(CANCEL_TRIES):
+        for _ in range(CANCEL_ATTEMPTS):
             entry = self._read(keys.name_job(customer, job_id))
             if entry is None:
                 return self.show(customer, job_id)
@@ -156,17 +156,17 @@
             if job.status in ENDED:
                 return self.show(customer, job_id)
             if job.status is JobStatus.cancelling:
-                return self._show_held(job)
+                return self._show_unfinished(job)
             job.status = JobStatus.cancelling
             job.cancelling_at = int(time.time())
             if self._replace(entry, job):
-                return self._show_held(job)
+                return self._show_unfinished(job)
         raise Refusal(ErrorKind.conflict, 'the job changes at the moment')
 
     def read_file(self, customer: str, file_id: str) -> FileRecord:
         """Read the record of an uploaded file.
 
-        :param customer: who asks.
+        :param customer: name of the customer.
         :param file_id: id of the file.
         :returns: the record.
         :raises Refusal: when the customer has no such file.
@@ -177,9 +177,9 @@
         return msgspec.json.decode(entry.value, type=FileRecord)
 
     def write_file(self, record: FileRecord) -> None:
-        """Keep the record of an uploaded file.
+        """Store the record of an uploaded file.
 
-        :param record: the file; its pages are kept already.
+        :param record: the file; its pages are stored already.
         """
         raw = msgspec.json.encode(record)
         wrote = swap_certainly(
@@ -188,7 +188,7 @@
             raw,
             0,
             lambda entry: entry.value == raw,
-            WRITE_SECONDS,
+            WRITE_TIMEOUT_SECONDS,
         )
         if isinstance(wrote, Err):
             raise refuse_write(wrote.err_value)
@@ -196,19 +196,21 @@
     def read_finished(self, customer: str, job_id: str) -> FinishedJob | None:
         """Read a finished job.
 
-        :param customer: who asks.
+        :param customer: name of the customer.
         :param job_id: id of the job.
         :returns: the job, ``None`` where it is not finished.
         """
         read = self.platform.get(keys.name_results(customer, job_id))
         if isinstance(read, Err):
-            return self._read_kept(customer, job_id)
+            return self._read_finished_on_disks(customer, job_id)
         if read.ok_value is None:
             return None
         return msgspec.json.decode(read.ok_value.value, type=FinishedJob)
 
-    def _read_kept(self, customer: str, job_id: str) -> FinishedJob | None:
-        """Read a finished job beside its data, while the service is down."""
+    def _read_finished_on_disks(
+        self, customer: str, job_id: str
+    ) -> FinishedJob | None:
+        """Read the copy in the data folders while the service is down."""
         raw = self.read_on_disks(name_kept_results(job_id))
         if raw is None:
             raise refuse_platform()
@@ -216,56 +218,60 @@
         return finished if finished.job.customer == customer else None
 
     def _find_page(self, customer: str, job_id: str) -> BatchPage | None:
-        held = self.board.jobs.get(job_id)
-        if held is not None and held.job.customer == customer:
-            return self._show_held(held.job)
-        # Results are written before the job is marked as ended, so in this
-        # order one of the two is seen.
+        cached = self.board.jobs.get(job_id)
+        if cached is not None and cached.job.customer == customer:
+            return self._show_unfinished(cached.job)
+        # Results are written before the job is marked as ended, so reading
+        # the job first finds at least one of the two.
         read = self.platform.get(keys.name_job(customer, job_id))
         if isinstance(read, Ok) and read.ok_value is not None:
             job = msgspec.json.decode(read.ok_value.value, type=Job)
             if job.status not in ENDED:
-                return self._show_held(job)
+                return self._show_unfinished(job)
         finished = self.read_finished(customer, job_id)
         return show_finished(finished) if finished else None
 
-    def _show_held(self, job: Job) -> BatchPage:
-        held = self.board.jobs.get(job.id)
-        claims = [kept.claim for kept in held.claims.values()] if held else []
+    def _show_unfinished(self, job: Job) -> BatchPage:
+        cached = self.board.jobs.get(job.id)
+        claims = (
+            [cached_claim.claim for cached_claim in cached.claims.values()]
+            if cached
+            else []
+        )
         return show_job(job, claims)
 
-    def _join_resend(
+    def _resolve_resend(
         self,
         customer: str,
         source: str,
         digest: str,
         deployment: Deployment,
     ) -> Resend:
-        """Agree with all other tries of this request on one job id."""
+        """Get the job id that all sends of this request share."""
         key = keys.name_resend(customer, _hash_text(source))
         entry = self._read(key)
-        known = _read_resend(entry, deployment.batch.resend_hours)
-        if known is not None:
-            return _check_same(known, digest)
-        fresh = _make_resend(digest)
-        raw = msgspec.json.encode(fresh)
+        existing = _read_resend(entry, deployment.batch.resend_hours)
+        if existing is not None:
+            return _check_same_digest(existing, digest)
+        resend = _make_resend(digest)
+        raw = msgspec.json.encode(resend)
         wrote = swap_certainly(
             self.platform,
             key,
             raw,
             entry.revision if entry else 0,
             lambda found: found.value == raw,
-            WRITE_SECONDS,
+            WRITE_TIMEOUT_SECONDS,
         )
         if isinstance(wrote, Ok):
-            return fresh
+            return resend
         if wrote.err_value is not Failure.conflict:
             raise refuse_write(wrote.err_value)
-        winner = self._read(key)
-        if winner is None:
+        stored = self._read(key)
+        if stored is None:
             raise Refusal(ErrorKind.conflict, 'the resend key changes')
-        return _check_same(
-            msgspec.json.decode(winner.value, type=Resend),
+        return _check_same_digest(
+            msgspec.json.decode(stored.value, type=Resend),
             digest,
         )
 
@@ -291,7 +297,7 @@
             raw,
             0,
             lambda entry: entry.value == raw,
-            WRITE_SECONDS,
+            WRITE_TIMEOUT_SECONDS,
         )
         if isinstance(wrote, Err) and wrote.err_value is not Failure.conflict:
             raise refuse_write(wrote.err_value)
@@ -301,7 +307,7 @@
             customer=job.customer,
             items=job.items,
         )
-        return self._show_held(job)
+        return self._show_unfinished(job)
 
     def _replace(self, entry: Entry, job: Job) -> bool:
         raw = msgspec.json.encode(job)
@@ -311,7 +317,7 @@
             raw,
             entry.revision,
             lambda found: found.value == raw,
-            WRITE_SECONDS,
+            WRITE_TIMEOUT_SECONDS,
         )
         if isinstance(wrote, Ok):
             return True
@@ -338,10 +344,10 @@
 
 
 def refuse_write(failure: Failure) -> Refusal:
-    """Make the refusal for a write that could not be made certain.
+    """Make the refusal for a write that failed or could not be confirmed.
 
-    :param failure: what is known.
-    :returns: the refusal; it says whether the write may stand.
+    :param failure: how the write failed.
+    :returns: the refusal; it says whether the write may have taken effect.
     """
     if failure is Failure.unknown:
         return Refusal(
@@ -365,11 +371,11 @@
 
 
 def _make_resend(digest: str) -> Resend:
-    identity = secrets.token_hex(JOB_ID_BYTES)
-    return Resend(f'batch_{identity}', digest, int(time.time()))
+    random_id = secrets.token_hex(JOB_ID_BYTES)
+    return Resend(f'batch_{random_id}', digest, int(time.time()))
 
 
-def _check_same(resend: Resend, digest: str) -> Resend:
+def _check_same_digest(resend: Resend, digest: str) -> Resend:
     if resend.digest != digest:
         raise Refusal(
             ErrorKind.key_reused,
@@ -378,28 +384,28 @@
     return resend
 
 
-def _digest_request(asked: BatchRequest, record: FileRecord) -> str:
+def _digest_request(request: BatchRequest, record: FileRecord) -> str:
     parts = [
         record.digest,
-        asked.endpoint,
-        asked.completion_window,
-        msgspec.json.encode(asked.metadata, order='sorted').decode(),
+        request.endpoint,
+        request.completion_window,
+        msgspec.json.encode(request.metadata, order='sorted').decode(),
     ]
     return _hash_text('\0'.join(parts))
 
 
 def _make_job(
     resend: Resend,
-    asked: BatchRequest,
+    request: BatchRequest,
     record: FileRecord,
     deployment: Deployment,
 ) -> Job:
-    if asked.endpoint != record.url:
+    if request.endpoint != record.url:
         raise Refusal(
             ErrorKind.invalid_request,
             f'endpoint: expected {record.url}, which the lines call',
         )
-    window = asked.completion_window
+    window = request.completion_window
     seconds = int(window[:-1]) * WINDOW_UNITS[window[-1]]
     service = find_service(deployment, record.url, record.model)
     return Job(
@@ -415,5 +421,5 @@
         window=window,
         created=resend.created,
         deadline=resend.created + seconds,
-        metadata=asked.metadata or {},
+        metadata=request.metadata or {},
     )
--- a/src/wigeonpier/entry/limits.py
+++ b/src/wigeonpier/entry/limits.py
@@ -71,8 +71,8 @@
     total: float = 0
     total_until: float = 0
 
-    def get_total(self, now: float) -> float:
-        """Get the requests in the window at all entries.
+    def count_total(self, now: float) -> float:
+        """Count the requests in the window at all entries.
 
         :param now: seconds.
         :returns: the owner's last total, 0 where it is out of date.
@@ -205,7 +205,7 @@
         now = self.clock()
         self._remove_idle(now)
         return tuple(
-            Usage(customer, round(requests, 2), account.get_total(now))
+            Usage(customer, round(requests, 2), account.count_total(now))
             for customer, account in self.accounts.items()
             if (requests := sum(account.list_admitted(now).values()))
         )
@@ -354,7 +354,7 @@
     ) -> OwnedAccount:
         account = open_account(limit, now)
         local = self.accounts.get(customer)
-        total = local.get_total(now) if local else 0
+        total = local.count_total(now) if local else 0
         for entry, usage in self.peers.items():
             used = usage.get(customer)
             if used is not None:
