--- a/src/wigeonpier/entry/accounts.py
+++ b/src/wigeonpier/entry/accounts.py
@@ -1,4 +1,4 @@
-"""Finds the customer of a bearer key."""
+"""Authenticates customers by their bearer keys."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
     from wigeonpier.web.server import Handler
 
 SCHEME = 'Bearer '
-CALLER_PATHS = ('/v1/', '/services/')
+CUSTOMER_PATHS = ('/v1/', '/services/')
 
 
 @dataclass(slots=True)
 class KeyRing:
-    """Customers by the hash of each key in force.
+    """The customers and the hashes of their keys in force.
 
-    :param customers: names by hash.
+    :param customers: customer names by key hash.
     """
 
     customers: dict[str, str] = field(default_factory=dict)
 
     def load(self, deployment: Deployment) -> None:
-        """Take the keys of a configuration.
+        """Replace the keys by those of a configuration.
 
-        :param deployment: comes into force.
+        :param deployment: the configuration that comes into force.
         """
         self.customers = {
             key_hash: name
@@ -37,22 +37,22 @@
             for key_hash in customer.key_hashes
         }
 
-    def require_key(self, request: Request, following: Handler) -> Response:
-        """Let only known customers through.
+    def require_key(self, request: Request, next_handler: Handler) -> Response:
+        """Find the customer of a request, on paths that need one.
 
-        :param request: the caller's.
-        :param following: the next handler.
+        :param request: the caller's request.
+        :param next_handler: the next handler.
         :returns: its answer.
-        :raises Refusal: when no key in force is shown.
+        :raises Refusal: when the request has no key in force.
         """
-        if request.path.startswith(CALLER_PATHS):
+        if request.path.startswith(CUSTOMER_PATHS):
             request.customer = self._find(request)
-        return following(request)
+        return next_handler(request)
 
     def _find(self, request: Request) -> str:
-        shown = request.headers.get('authorization', '')
-        customer = self.customers.get(hash_key(shown.removeprefix(SCHEME)))
-        if customer is None or not shown.startswith(SCHEME):
+        header = request.headers.get('authorization', '')
+        customer = self.customers.get(hash_key(header.removeprefix(SCHEME)))
+        if customer is None or not header.startswith(SCHEME):
             raise Refusal(
                 ErrorKind.unauthenticated,
                 'expected a key in force as "Authorization: Bearer KEY"',
--- a/src/wigeonpier/entry/admin.py
+++ b/src/wigeonpier/entry/admin.py
@@ -23,7 +23,7 @@
     from wigeonpier.membership.directory import Directory
     from wigeonpier.web.messages import Request
 
-ADMIN_BODY_LIMIT = 4_000_000
+MAX_ADMIN_BODY_BYTES = 4_000_000
 
 
 class MemberPage(msgspec.Struct):
@@ -44,7 +44,7 @@
 
 
 class UsagePage(msgspec.Struct):
-    """What a customer's kept results add up to."""
+    """Totals of a customer's stored results."""
 
     customer: str
     jobs: int
@@ -53,16 +53,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminHandler:
-    """What administration handlers use.
+    """Handles the requests of operators.
 
     :param configuration: accepts configurations.
     :param directory: view of the fleet.
-    :param desk: shows and cancels jobs.
+    :param job_handler: shows and cancels jobs.
     """
 
     configuration: ConfigurationHandler
     directory: Directory
-    desk: JobHandler
+    job_handler: JobHandler
 
     def make_routes(self) -> list[Route]:
         """List the paths of the administration listener.
@@ -88,9 +88,9 @@
         ]
 
     def show_configuration(self, _request: Request) -> Response:
-        """Show the configuration in force here.
+        """Show the configuration in force at this entry.
 
-        :param _request: the operator's.
+        :param _request: the operator's request.
         :returns: the bundle.
         """
         return Response(HTTPStatus.OK, self.configuration.holder.raw or b'null')
@@ -98,17 +98,17 @@
     def apply(self, request: Request) -> Response:
         """Accept a configuration.
 
-        :param request: the operator's.
+        :param request: the operator's request.
         :returns: its version.
         """
-        request.body_limit = ADMIN_BODY_LIMIT
-        asked = decode_body(request.read_body(), Application)
-        return answer_json(self.configuration.apply(asked))
+        request.body_limit = MAX_ADMIN_BODY_BYTES
+        application = decode_body(request.read_body(), Application)
+        return answer_json(self.configuration.apply(application))
 
     def list_history(self, _request: Request) -> Response:
         """List accepted configurations.
 
-        :param _request: the operator's.
+        :param _request: the operator's request.
         :returns: bundles, oldest first.
         """
         return answer_json(self.configuration.list_history())
@@ -116,7 +116,7 @@
     def list_fleet(self, _request: Request) -> Response:
         """List the processes that this entry knows.
 
-        :param _request: the operator's.
+        :param _request: the operator's request.
         :returns: the processes.
         """
         now = self.directory.clock()
@@ -143,40 +143,39 @@
         return answer_json(pages)
 
     def list_jobs(self, _request: Request) -> Response:
-        """List all customers' jobs.
+        """List the jobs of all customers.
 
-        :param _request: the operator's.
+        :param _request: the operator's request.
         :returns: the jobs; finished ones last.
         """
         pages = [
             show_job(
-                held.job,
-                [kept.claim for kept in held.claims.values()],
+                cached.job,
+                [cached_claim.claim for cached_claim in cached.claims.values()],
             )
-            for held in self.desk.board.jobs.values()
+            for cached in self.job_handler.board.jobs.values()
         ]
-        pages += [show_finished(finished) for finished in self._read_all()]
+        pages += [show_finished(finished) for finished in self._read_finished()]
         return answer_json(pages)
 
     def cancel(self, _request: Request, customer: str, job: str) -> Response:
         """Cancel a customer's job.
 
-        :param _request: the operator's.
-        :param customer: whose job it is.
+        :param _request: the operator's request.
+        :param customer: name of the customer.
         :param job: id of the job.
         :returns: the job.
         """
-        return answer_json(self.desk.cancel(customer, job))
+        return answer_json(self.job_handler.cancel(customer, job))
 
     def list_usage(self, _request: Request) -> Response:
-        """Add up the kept results by customer.
+        """Sum the stored results by customer.
 
-        :param _request: the operator's.
-        :returns: usage; it cannot count an item twice, since an item has
-            one result.
+        :param _request: the operator's request.
+        :returns: usage; no item counts twice, since each has one result.
         """
         by_customer: dict[str, list[Tally]] = {}
-        for finished in self._read_all():
+        for finished in self._read_finished():
             tallies = by_customer.setdefault(finished.job.customer, [])
             tallies.append(finished.tally)
         return answer_json(
@@ -187,9 +186,9 @@
         )
 
     def drain(self, _request: Request, name: str) -> Response:
-        """Give a VM no new work.
+        """Stop sending new work to a VM.
 
-        :param _request: the operator's.
+        :param _request: the operator's request.
         :param name: name of the VM.
         :returns: all drained VMs.
         """
@@ -197,17 +196,17 @@
         return answer_json(sorted(self.directory.leaving_vms))
 
     def undrain(self, _request: Request, name: str) -> Response:
-        """Give a VM work again.
+        """Resume sending work to a VM.
 
-        :param _request: the operator's.
+        :param _request: the operator's request.
         :param name: name of the VM.
         :returns: all drained VMs.
         """
         self.directory.unmark_leaving(name)
         return answer_json(sorted(self.directory.leaving_vms))
 
-    def _read_all(self) -> list[FinishedJob]:
-        listed = self.desk.platform.list_prefix(keys.RESULTS)
+    def _read_finished(self) -> list[FinishedJob]:
+        listed = self.job_handler.platform.list_prefix(keys.RESULTS)
         if isinstance(listed, Err):
             raise refuse_platform()
         return [
--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -70,43 +70,43 @@
     from wigeonpier.platform.port import Change
 
 PROGRAM = 'wigeonpier-entry'
-SMALL_BODY = 1_000_000
+DEFAULT_BODY_LIMIT_BYTES = 1_000_000
 PEER_PATHS = ('/peer/', '/disk/')
 ADMIN_PATHS = ('/admin/',)
 ENTRY_FAN_OUT = 64
-VM_LIST_SECONDS = 1.0
-ITSELF_SECONDS = 0.25
-TOKENS_SECONDS = 1.0
+VM_POLL_SECONDS = 1.0
+SELF_REPORT_SECONDS = 0.25
+TOKEN_REPORT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class EntryApp:
-    """All parts of one entry process.
+    """All components of one entry process.
 
-    :param parts: what both daemons have.
+    :param parts: components that both daemons have.
     :param directory: view of the fleet.
     :param disks: reaches data folders.
     :param board: jobs that are not finished.
-    :param desk: accepts and shows jobs.
+    :param job_handler: accepts and shows jobs.
     :param limits: limits of customers.
-    :param ring: customers by key.
+    :param key_ring: customers by key.
     :param configuration: accepts configurations.
-    :param reporter: heartbeats to the other entries.
+    :param reporter: sends heartbeats to the other entries.
     :param finalizer: finalizes jobs.
     :param copies: replaces lost copies.
-    :param views: what is watched in the key-value service.
+    :param views: watched keys of the key-value service.
     :param server: listener for callers and peers.
     :param admin: listener for operators.
-    :param grace_seconds: how long it takes requests while it leaves.
+    :param grace_seconds: how long new requests are accepted while leaving.
     """
 
     parts: Parts
     directory: Directory
     disks: DiskClient
     board: JobBoard
-    desk: JobHandler
+    job_handler: JobHandler
     limits: CustomerLimits
-    ring: KeyRing
+    key_ring: KeyRing
     configuration: ConfigurationHandler
     reporter: Reporter
     finalizer: JobFinalizer
@@ -117,40 +117,40 @@
     grace_seconds: float
 
     def start(self) -> str:
-        """Listen, and begin to watch, beat and look after jobs.
+        """Start the listeners, the watches and the background loops.
 
         :returns: address for callers.
         """
         self.parts.address = self.server.address
-        self.parts.holder.listen(self.ring.load)
-        self.reporter.on_reply = self._take_reply
+        self.parts.holder.listen(self.key_ring.load)
+        self.reporter.on_reply = self._handle_reply
         for view in self.views:
             view.start()
         for controller in (self.finalizer, self.copies, self.reporter):
             controller.start()
-        spawn_loop('vm list', lambda: _watch_vms(self))
+        spawn_loop('vm list', lambda: _update_vms(self))
         spawn_loop('limits', lambda: _report_tokens(self))
-        spawn_loop('itself', lambda: _report_itself(self))
+        spawn_loop('itself', lambda: _record_itself(self))
         self.server.start()
         self.admin.start()
         return self.server.address
 
     def leave(self, seconds: float) -> int:
-        """Take no new work and wait for what is in hand.
+        """Announce that the process leaves, then drain its listeners.
 
-        :param seconds: longest wait.
-        :returns: requests still in hand.
+        :param seconds: maximum wait.
+        :returns: number of requests still in flight.
         """
-        give_up = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         self.parts.is_leaving = True
         self.server.is_closing = True
         self.reporter.hurry()
         gevent.sleep(min(self.grace_seconds, seconds))
-        left = self.server.drain(max(0, give_up - time.monotonic()))
+        left = self.server.drain(max(0, deadline - time.monotonic()))
         self.admin.drain(0)
         return left
 
-    def _take_reply(self, reply: HeartbeatReply) -> None:
+    def _handle_reply(self, reply: HeartbeatReply) -> None:
         self.directory.note_gone(reply.gone)
         self.parts.suspicions.merge(reply.suspicions)
         self.limits.record_peer_usage(reply.address, reply.usage)
@@ -162,9 +162,9 @@
 ) -> EntryApp:
     """Wire an entry process.
 
-    :param settings: what it was told.
+    :param settings: settings of the process.
     :param make_caller: makes the connections to peers and the platform.
-    :returns: the process; nothing runs yet.
+    :returns: the process; nothing is started yet.
     """
     parts = build_parts(settings, make_caller)
     clock = time.monotonic
@@ -178,12 +178,12 @@
         lambda: _list_weights(parts),
         directory.list_entries,
     )
-    desk = JobHandler(
+    job_handler = JobHandler(
         parts.platform,
         board,
         lambda file_id: _read_on_disks(directory, disks, file_id),
     )
-    ring = KeyRing()
+    key_ring = KeyRing()
     reporter = Reporter(
         parts.caller,
         parts.holder,
@@ -212,7 +212,7 @@
         OnlineResends(parts.platform),
         settings.data_centre,
     )
-    files = FileHandler(parts.holder, desk, disks, directory)
+    files = FileHandler(parts.holder, job_handler, disks, directory)
     peers = PeerHandler(
         parts.holder,
         directory,
@@ -221,10 +221,12 @@
         parts.caller,
         parts.suspicions,
     )
-    server = _build_server(parts, ring, online, files, peers)
+    server = _build_server(parts, key_ring, online, files, peers)
     configuration = ConfigurationHandler(parts.platform, parts.holder)
     board.address = server.address
-    admin = _build_admin(parts, AdminHandler(configuration, directory, desk))
+    admin = _build_admin(
+        parts, AdminHandler(configuration, directory, job_handler)
+    )
     finalizer = JobFinalizer(
         board,
         directory,
@@ -237,9 +239,9 @@
         directory=directory,
         disks=disks,
         board=board,
-        desk=desk,
+        job_handler=job_handler,
         limits=limits,
-        ring=ring,
+        key_ring=key_ring,
         configuration=configuration,
         reporter=reporter,
         finalizer=finalizer,
@@ -253,7 +255,7 @@
 
 def _build_server(
     parts: Parts,
-    ring: KeyRing,
+    key_ring: KeyRing,
     online: OnlineHandler,
     files: FileHandler,
     peers: PeerHandler,
@@ -271,7 +273,7 @@
         make_route('GET', '/v1/batches', files.list_batches),
         make_route('GET', '/v1/batches/([^/]+)', files.show_batch),
         make_route('POST', '/v1/batches/([^/]+)/cancel', files.cancel_batch),
-        make_route('POST', HEARTBEAT_PATH, peers.take_heartbeat),
+        make_route('POST', HEARTBEAT_PATH, peers.handle_heartbeat),
         make_route('GET', CONFIGURATION_PATH, peers.show_configuration),
         make_route('POST', LIMIT_PATH, peers.decide_limit),
         make_exchange_route(parts.suspicions),
@@ -281,20 +283,20 @@
     filters = [
         trace_requests('entry', parts.export, parts.metrics),
         answer_errors,
-        limit_bodies(SMALL_BODY),
+        limit_bodies(DEFAULT_BODY_LIMIT_BYTES),
         require_peer_key(settings.peer_keys, PEER_PATHS),
-        ring.require_key,
+        key_ring.require_key,
     ]
     host, port = split_address(settings.listen)
     return Server(host, port, chain_filters(filters, dispatch_to(routes)))
 
 
-def _build_admin(parts: Parts, desk: AdminHandler) -> Server:
+def _build_admin(parts: Parts, handler: AdminHandler) -> Server:
     settings = parts.settings
     filters = [
         trace_requests('admin', parts.export, parts.metrics),
         answer_errors,
-        limit_bodies(SMALL_BODY),
+        limit_bodies(DEFAULT_BODY_LIMIT_BYTES),
         require_peer_key(settings.peer_keys, ADMIN_PATHS),
     ]
     address = getattr(settings, 'admin', '127.0.0.1:0')
@@ -302,21 +304,21 @@
     return Server(
         host,
         port,
-        chain_filters(filters, dispatch_to(desk.make_routes())),
+        chain_filters(filters, dispatch_to(handler.make_routes())),
     )
 
 
 def _make_views(parts: Parts, board: JobBoard) -> tuple[PrefixView, ...]:
-    platform, draw = parts.platform, parts.draw
+    platform, rng = parts.platform, parts.draw
 
     def note_configuration(change: Change) -> None:
         if change.value is not None:
             parts.holder.adopt(change.value)
 
     return (
-        PrefixView(platform, keys.CONFIGURATION, note_configuration, draw),
-        PrefixView(platform, keys.JOBS, board.note_job, draw),
-        PrefixView(platform, keys.CHUNKS, board.note_claim, draw),
+        PrefixView(platform, keys.CONFIGURATION, note_configuration, rng),
+        PrefixView(platform, keys.JOBS, board.record_job, rng),
+        PrefixView(platform, keys.CHUNKS, board.record_claim, rng),
     )
 
 
@@ -353,29 +355,29 @@
     )
 
 
-def _report_itself(app: EntryApp) -> None:
-    """Keep this entry in its own view of the fleet, without a call."""
+def _record_itself(app: EntryApp) -> None:
+    """Add this entry to its own view of the fleet, without a call."""
     app.directory.note_heartbeat(_describe(app.parts, app.limits))
     app.reporter.learn_entries(app.directory.list_entries())
-    gevent.sleep(ITSELF_SECONDS)
+    gevent.sleep(SELF_REPORT_SECONDS)
 
 
 def _report_tokens(app: EntryApp) -> None:
-    gevent.sleep(TOKENS_SECONDS)
+    gevent.sleep(TOKEN_REPORT_SECONDS)
     holder = app.parts.holder
     if holder.version:
         customers = holder.deployment.customers
         app.limits.report_tokens(
-            {name: found.limits for name, found in customers.items()}.get,
+            {name: customer.limits for name, customer in customers.items()}.get,
         )
 
 
-def _watch_vms(app: EntryApp) -> None:
+def _update_vms(app: EntryApp) -> None:
     listed = app.parts.platform.list_vms()
     if listed.is_ok():
         app.directory.note_vms(listed.unwrap())
     app.limits.remove_entries(set(app.directory.list_entries()))
-    gevent.sleep(VM_LIST_SECONDS)
+    gevent.sleep(VM_POLL_SECONDS)
 
 
 def _index_disks(directory: Directory) -> dict[str, DiskReport]:
@@ -391,15 +393,15 @@
     disks: DiskClient,
     file_id: str,
 ) -> bytes | None:
-    there = tuple(disk.incarnation for disk in directory.list_disks())
-    return read_first(there, lambda copy: disks.read_page(copy, file_id, 0))
+    reachable = tuple(disk.incarnation for disk in directory.list_disks())
+    return read_first(reachable, lambda copy: disks.read_page(copy, file_id, 0))
 
 
 def _find_region(parts: Parts, data_centre: str) -> str:
     if not parts.holder.version:
         return ''
-    known = parts.holder.deployment.data_centres.get(data_centre)
-    return known.region if known else ''
+    described = parts.holder.deployment.data_centres.get(data_centre)
+    return described.region if described else ''
 
 
 def _list_weights(parts: Parts) -> dict[str, float]:
--- a/src/wigeonpier/entry/board.py
+++ b/src/wigeonpier/entry/board.py
@@ -109,7 +109,7 @@
     )
     _offered_at: dict[tuple[str, int], float] = field(default_factory=dict)
 
-    def note_job(self, change: Change) -> None:
+    def record_job(self, change: Change) -> None:
         """Apply a change of a job's key.
 
         :param change: change that the watch reported.
@@ -130,7 +130,7 @@
             cached.job = job
             cached.revision = change.revision
 
-    def note_claim(self, change: Change) -> None:
+    def record_claim(self, change: Change) -> None:
         """Apply a change of a claim's key.
 
         :param change: change that the watch reported.
@@ -150,7 +150,7 @@
         else:
             cached_job.claims[index] = cached
 
-    def note_age(self, name: tuple[str, int, int], age: float) -> None:
+    def record_age(self, name: tuple[str, int, int], age: float) -> None:
         """Record the time since the last write to a segment.
 
         :param name: job, chunk and fencing number.
@@ -227,7 +227,7 @@
                 remaining -= eligible[job_id].job.pages[offer.chunk]
         return tuple(offers)
 
-    def note_rate(self, items: int, seconds: float) -> None:
+    def record_rate(self, items: int, seconds: float) -> None:
         """Update the estimated throughput of the fleet.
 
         :param items: items that were finished.
--- a/src/wigeonpier/entry/configuration.py
+++ b/src/wigeonpier/entry/configuration.py
@@ -1,4 +1,7 @@
-"""Accepts configurations: one order of versions, none lost or reverted."""
+"""Accepts configurations in a single order of versions.
+
+No accepted version is lost or replaced by an older one.
+"""
 
 from __future__ import annotations
 
@@ -19,16 +22,17 @@
 if TYPE_CHECKING:
     from wigeonpier.settings.holder import ConfigurationHolder
 
-WRITE_SECONDS = 8.0
+WRITE_TIMEOUT_SECONDS = 8.0
 VERSION_DIGITS = 9
 
 
 class Application(msgspec.Struct, forbid_unknown_fields=True):
-    """A configuration that an operator wants in force.
+    """Body of a request to apply a configuration.
 
-    :param edited: version that the operator edited from, 0 for the first.
-    :param operation: drawn by the operator's tool, to find the outcome.
-    :param operator: who applies it.
+    :param edited: version that the operator edited, 0 for none.
+    :param operation: random id from the operator's tool, to identify the
+        request when it is sent again.
+    :param operator: name of the operator.
     :param base: base document.
     :param overlays: overlay by site.
     """
@@ -43,8 +47,8 @@
 class Accepted(msgspec.Struct):
     """Answer to an accepted configuration.
 
-    :param version: its version.
-    :param operation: the operator's.
+    :param version: version of the configuration.
+    :param operation: id from the request.
     """
 
     version: int
@@ -53,50 +57,51 @@
 
 @dataclass(slots=True)
 class ConfigurationHandler:
-    """What operators do with the configuration.
+    """Applies configurations and lists earlier ones.
 
     :param platform: the port.
-    :param holder: configuration in force here.
+    :param holder: configuration in force at this entry.
     """
 
     platform: Platform
     holder: ConfigurationHolder
 
-    def apply(self, asked: Application) -> Accepted:
-        """Accept a configuration, or tell why not.
+    def apply(self, application: Application) -> Accepted:
+        """Accept a configuration.
 
-        :param asked: the configuration.
+        :param application: the configuration.
         :returns: its version.
-        :raises Refusal: when it is wrong, or another operator was faster.
+        :raises Refusal: when it is invalid, or another version was applied
+            after the edited one.
         """
         bundle = Bundle(
-            version=asked.edited + 1,
-            operation=asked.operation,
-            operator=asked.operator,
-            base=asked.base,
-            overlays=asked.overlays,
+            version=application.edited + 1,
+            operation=application.operation,
+            operator=application.operator,
+            base=application.base,
+            overlays=application.overlays,
         )
         check_bundle(bundle)
         current = self._read(keys.CONFIGURATION)
         if current is not None:
-            done = self._find_done(current, asked)
-            if done:
-                return done
-            self._check_edited(current, asked)
-            self._keep_history(current)
+            accepted = self._find_accepted(current, application)
+            if accepted:
+                return accepted
+            self._check_edited_version(current, application)
+            self._archive(current)
         raw = msgspec.json.encode(bundle)
         wrote = swap_certainly(
             self.platform,
             keys.CONFIGURATION,
             raw,
             current.revision if current else 0,
-            lambda entry: _read_operation(entry) == asked.operation,
-            WRITE_SECONDS,
+            lambda entry: _read_operation(entry) == application.operation,
+            WRITE_TIMEOUT_SECONDS,
         )
         if isinstance(wrote, Err):
-            return self._settle(asked, wrote.err_value)
+            return self._resolve_failed_write(application, wrote.err_value)
         self.holder.adopt(raw)
-        return Accepted(bundle.version, asked.operation)
+        return Accepted(bundle.version, application.operation)
 
     def list_history(self) -> list[Bundle]:
         """List accepted configurations.
@@ -119,45 +124,52 @@
             bundles.append(newest)
         return bundles
 
-    def _settle(self, asked: Application, failure: Failure) -> Accepted:
-        """Find out what became of a write that lost or is not known."""
+    def _resolve_failed_write(
+        self, application: Application, failure: Failure
+    ) -> Accepted:
+        """Find the outcome of a write that failed or conflicted."""
         if failure is not Failure.conflict:
             raise refuse_write(failure)
         current = self._read(keys.CONFIGURATION)
         if current is None:
             raise Refusal(ErrorKind.conflict, 'the configuration changes')
-        done = self._find_done(current, asked)
-        if done:
-            return done
-        self._check_edited(current, asked)
+        accepted = self._find_accepted(current, application)
+        if accepted:
+            return accepted
+        self._check_edited_version(current, application)
         raise Refusal(ErrorKind.conflict, 'the configuration changes')
 
-    def _find_done(
+    def _find_accepted(
         self,
         current: Entry,
-        asked: Application,
+        application: Application,
     ) -> Accepted | None:
-        """Know an application again whose answer the operator has not got."""
-        version = asked.edited + 1
-        if _read_operation(current) == asked.operation:
-            return Accepted(version, asked.operation)
-        kept = self._read(_name_history(version))
-        if kept is not None and _read_operation(kept) == asked.operation:
-            return Accepted(version, asked.operation)
+        """Find an application that is sent again after its answer was lost."""
+        version = application.edited + 1
+        if _read_operation(current) == application.operation:
+            return Accepted(version, application.operation)
+        archived = self._read(_name_history(version))
+        if (
+            archived is not None
+            and _read_operation(archived) == application.operation
+        ):
+            return Accepted(version, application.operation)
         return None
 
-    def _check_edited(self, current: Entry, asked: Application) -> None:
+    def _check_edited_version(
+        self, current: Entry, application: Application
+    ) -> None:
         newest = msgspec.json.decode(current.value, type=Bundle)
-        if newest.version == asked.edited:
+        if newest.version == application.edited:
             return
         raise Refusal(
             ErrorKind.conflict,
-            f'version {asked.edited} was edited, but {newest.operator} made '
+            f'version {application.edited} was edited, but {newest.operator} made '
             f'{newest.version} since; see config diff',
         )
 
-    def _keep_history(self, current: Entry) -> None:
-        """Keep the version that is replaced, before it is replaced."""
+    def _archive(self, current: Entry) -> None:
+        """Copy the current version to the history before it is replaced."""
         newest = msgspec.json.decode(current.value, type=Bundle)
         wrote = swap_certainly(
             self.platform,
@@ -165,7 +177,7 @@
             current.value,
             0,
             lambda entry: entry.value == current.value,
-            WRITE_SECONDS,
+            WRITE_TIMEOUT_SECONDS,
         )
         if isinstance(wrote, Ok) or wrote.err_value is Failure.conflict:
             return
@@ -179,10 +191,10 @@
 
 
 def check_bundle(bundle: Bundle) -> None:
-    """Refuse a configuration that some site could not run with.
+    """Refuse a configuration that is invalid at some site.
 
     :param bundle: the configuration.
-    :raises Refusal: naming every mistake at every site.
+    :raises Refusal: with every problem at every site.
     """
     problems: list[str] = []
     for site in ('', *bundle.overlays):
--- a/src/wigeonpier/entry/files.py
+++ b/src/wigeonpier/entry/files.py
@@ -32,27 +32,27 @@
     from wigeonpier.settings.holder import ConfigurationHolder
     from wigeonpier.web.messages import Request
 
-DEFAULT_LIST = 20
-LONGEST_LIST = 100
+DEFAULT_LIST_LIMIT = 20
+MAX_LIST_LIMIT = 100
 
 
 @dataclass(frozen=True, slots=True)
 class FileHandler:
-    """What handlers of files and batches use.
+    """Handles the requests of callers for files and batches.
 
     :param holder: configuration in force.
-    :param desk: accepts and shows jobs.
+    :param job_handler: accepts and shows jobs.
     :param disks: reaches data folders.
-    :param directory: data folders in reach.
+    :param directory: reachable data folders.
     """
 
     holder: ConfigurationHolder
-    desk: JobHandler
+    job_handler: JobHandler
     disks: DiskClient
     directory: Directory
 
     def upload(self, request: Request) -> Response:
-        """Take in a batch file.
+        """Receive a batch file.
 
         :param request: multipart form.
         :returns: the file.
@@ -63,23 +63,23 @@
             self.disks,
             self.directory.list_disks(),
         )
-        self.desk.write_file(record)
+        self.job_handler.write_file(record)
         return answer_json(show_file(record))
 
     def show(self, request: Request, file_id: str) -> Response:
         """Show a file.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :param file_id: id of the file.
         :returns: the file.
         """
-        record = self.desk.read_file(request.customer, file_id)
+        record = self.job_handler.read_file(request.customer, file_id)
         return answer_json(show_file(record))
 
     def read_content(self, request: Request, file_id: str) -> Response:
         """Read a file, an output file or an error file.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :param file_id: id of the file.
         :returns: its lines, streamed.
         """
@@ -88,7 +88,7 @@
                 job = file_id.removeprefix(prefix)
                 lines = self._read_results(request, job, prefix == OUTPUT)
                 return Response(HTTPStatus.OK, lines, JSON_LINES_TYPE)
-        record = self.desk.read_file(request.customer, file_id)
+        record = self.job_handler.read_file(request.customer, file_id)
         pages = iterate_pages(
             record.copies,
             self.disks,
@@ -100,10 +100,10 @@
     def create_batch(self, request: Request) -> Response:
         """Accept a job.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :returns: the job.
         """
-        page = self.desk.create(
+        page = self.job_handler.create(
             request.customer,
             decode_body(request.read_body(), BatchRequest),
             request.headers.get(headers.IDEMPOTENCY_KEY, ''),
@@ -114,24 +114,24 @@
     def show_batch(self, request: Request, job: str) -> Response:
         """Show a job.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :param job: id of the job.
         :returns: the job.
         """
-        return answer_json(self.desk.show(request.customer, job))
+        return answer_json(self.job_handler.show(request.customer, job))
 
     def list_batches(self, request: Request) -> Response:
         """List the caller's jobs, newest first.
 
-        :param request: the caller's, perhaps with ``limit`` and ``after``.
+        :param request: the caller's request, with optional ``limit`` and ``after``.
         :returns: the list.
         """
         query = parse_qs(request.query)
         limit = min(
-            LONGEST_LIST,
-            _read_count(query.get('limit', [str(DEFAULT_LIST)])[0]),
+            MAX_LIST_LIMIT,
+            _read_count(query.get('limit', [str(DEFAULT_LIST_LIMIT)])[0]),
         )
-        pages = self.desk.list_pages(request.customer)
+        pages = self.job_handler.list_pages(request.customer)
         after = query.get('after', [''])[0]
         ids = [page.id for page in pages]
         start = ids.index(after) + 1 if after in ids else 0
@@ -140,30 +140,30 @@
     def cancel_batch(self, request: Request, job: str) -> Response:
         """Cancel a job.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :param job: id of the job.
         :returns: the job.
         """
-        return answer_json(self.desk.cancel(request.customer, job))
+        return answer_json(self.job_handler.cancel(request.customer, job))
 
     def list_files(self, request: Request) -> Response:
         """List the caller's files.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :returns: the list.
         """
         prefix = keys.name_file(request.customer, '')
-        listed = self.desk.platform.list_prefix(prefix)
+        listed = self.job_handler.platform.list_prefix(prefix)
         if isinstance(listed, Err):
             raise refuse_platform()
         files = [
             show_file(
-                self.desk.read_file(
+                self.job_handler.read_file(
                     request.customer,
                     entry.key.removeprefix(prefix),
                 ),
             )
-            for entry in listed.ok_value.entries[:LONGEST_LIST]
+            for entry in listed.ok_value.entries[:MAX_LIST_LIMIT]
         ]
         return answer_json(ListPage(files))
 
@@ -173,7 +173,7 @@
         job: str,
         succeeded: bool,
     ) -> Iterator[bytes]:
-        finished = self.desk.read_finished(request.customer, job)
+        finished = self.job_handler.read_finished(request.customer, job)
         if finished is None:
             raise Refusal(
                 ErrorKind.not_found,
@@ -192,10 +192,10 @@
 
 
 def _make_list(pages: list[BatchPage], limit: int) -> ListPage:
-    shown = pages[:limit]
+    listed_pages = pages[:limit]
     return ListPage(
-        shown,
+        listed_pages,
         has_more=len(pages) > limit,
-        first_id=shown[0].id if shown else None,
-        last_id=shown[-1].id if shown else None,
+        first_id=listed_pages[0].id if listed_pages else None,
+        last_id=listed_pages[-1].id if listed_pages else None,
     )
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -123,8 +123,8 @@
             for entry in listed.ok_value.entries
         }
         ended = {
-            index: self._cancel_chunk(cached, index, *entry)
-            for index, entry in claims.items()
+            index: self._cancel_chunk(cached, index, *claimed)
+            for index, claimed in claims.items()
         }
         self._write_finished(cached, JobStatus.cancelled, ended)
 
@@ -244,7 +244,7 @@
     def _poll_disk(self, address: str) -> None:
         for segment in self.disks.list_ages(address) or ():
             name = (segment.job, segment.chunk, segment.fence)
-            self.board.note_age(name, segment.age)
+            self.board.record_age(name, segment.age)
 
 
 def _cancel_items(chunk: Chunk) -> None:
--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -53,7 +53,7 @@
     :param request: the request as the caller sent it.
     :param path: path at the local process.
     :param body: the complete body.
-    :param ask: requirements for the upstream.
+    :param criteria: requirements for the upstream.
     :param is_idempotent: whether it may run more than once.
     :param deadline: monotonic seconds.
     :param arrived: monotonic seconds.
@@ -66,7 +66,7 @@
     request: Request
     path: str
     body: bytes
-    ask: Ask
+    criteria: Ask
     is_idempotent: bool
     deadline: float
     arrived: float = field(default_factory=time.monotonic)
@@ -99,8 +99,8 @@
 
 
 @dataclass(slots=True)
-class AttemptFailure:
-    """Failure of one attempt.
+class RefusedAttempt:
+    """A failed attempt and the answer that it would give the caller.
 
     :param fate: whether the request may have run.
     :param refusal: answer to the caller if this is the last attempt.
@@ -140,7 +140,7 @@
     :param directory: upstreams that the entry knows.
     :param caller: connections to local processes.
     :param metrics: metrics of this process.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     :param suspect_filter: refuses requests that crash upstreams.
     :param budget: limits the share of retries.
     """
@@ -148,7 +148,7 @@
     directory: Directory
     caller: HttpCaller
     metrics: Metrics
-    draw: random.Random
+    rng: random.Random
     suspect_filter: SuspectFilter
     budget: RetryBudget = field(default_factory=RetryBudget)
 
@@ -180,9 +180,9 @@
         now = self.directory.clock()
         state = choose_upstream(
             self.directory.list_upstreams(),
-            pending.ask,
+            pending.criteria,
             now,
-            self.draw,
+            self.rng,
         )
         if state is None:
             raise Refusal(
@@ -200,7 +200,7 @@
         self,
         pending: PendingRequest,
         state: UpstreamState,
-    ) -> Result[Response, AttemptFailure]:
+    ) -> Result[Response, RefusedAttempt]:
         pending.attempts += 1
         self._record_added_latency(pending)
         check_promise(
@@ -226,7 +226,7 @@
             self.metrics.observe(
                 'added_latency',
                 time.monotonic() - pending.arrived,
-                service=pending.ask.service,
+                service=pending.criteria.service,
                 work='online',
             )
 
@@ -234,7 +234,7 @@
         self,
         pending: PendingRequest,
         state: UpstreamState,
-    ) -> Result[StreamReply, AttemptFailure]:
+    ) -> Result[StreamReply, RefusedAttempt]:
         opened = self.caller.open(
             state.address,
             pending.request.method,
@@ -270,7 +270,7 @@
         pending: PendingRequest,
         state: UpstreamState,
         reply: StreamReply,
-    ) -> Result[Response, AttemptFailure]:
+    ) -> Result[Response, RefusedAttempt]:
         try:
             body = reply.read()
         except (OSError, HTTPParseError):
@@ -338,7 +338,7 @@
         self.metrics.observe(
             name,
             seconds,
-            service=pending.ask.service,
+            service=pending.criteria.service,
             work='online',
         )
 
@@ -382,7 +382,7 @@
         self,
         pending: PendingRequest,
         state: UpstreamState,
-        failure: AttemptFailure,
+        failure: RefusedAttempt,
     ) -> None:
         last = Try(
             pending.attempts,
@@ -400,16 +400,16 @@
         if not may_retry(last, self.budget):
             raise failure.refusal
         self.budget.note_retry()
-        self.metrics.count('retries_total', service=pending.ask.service)
+        self.metrics.count('retries_total', service=pending.criteria.service)
         log_event(
             Event.request_retried,
             request=pending.request.identity,
             upstream=state.name,
             kind=failure.refusal.kind.value,
         )
-        pending.ask = replace(
-            pending.ask,
-            excluded=pending.ask.excluded | {state.name},
+        pending.criteria = replace(
+            pending.criteria,
+            excluded=pending.criteria.excluded | {state.name},
         )
 
 
@@ -431,7 +431,7 @@
 
 
 def _count_tokens(pending: PendingRequest, body: bytes) -> int:
-    if not pending.ask.model:
+    if not pending.criteria.model:
         return 0
     try:
         answer = msgspec.json.decode(body, type=Whole)
@@ -457,19 +457,19 @@
     return forwarded
 
 
-def _classify_failure(failure: CallFailure) -> AttemptFailure:
+def _classify_failure(failure: CallFailure) -> RefusedAttempt:
     if failure is CallFailure.not_sent:
-        return AttemptFailure(
+        return RefusedAttempt(
             Fate.not_run,
             Refusal(ErrorKind.no_upstream, 'the upstream cannot be reached'),
         )
-    return AttemptFailure(
+    return RefusedAttempt(
         Fate.may_have_run,
         Refusal(ErrorKind.upstream_lost, 'the upstream was lost'),
     )
 
 
-def _classify_refusal(reply: StreamReply) -> AttemptFailure:
+def _classify_refusal(reply: StreamReply) -> RefusedAttempt:
     try:
         page = msgspec.json.decode(reply.read(), type=ErrorPage)
         refusal = Refusal(
@@ -485,7 +485,7 @@
     finally:
         reply.close()
     fate = Fate.not_run if refusal.ran is Ran.no else Fate.may_have_run
-    return AttemptFailure(fate, refusal)
+    return RefusedAttempt(fate, refusal)
 
 
 def _render_error(refusal: Refusal) -> bytes:
--- a/src/wigeonpier/entry/limits.py
+++ b/src/wigeonpier/entry/limits.py
@@ -119,7 +119,7 @@
 
     :param clock: returns seconds.
     :param fleet: the other entries.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     :param start: identifies this start of the process.
     :param accounts: usage of customers that are active at this entry.
     :param owned: accounts of the customers that this entry owns.
@@ -129,7 +129,7 @@
 
     clock: Callable[[], float]
     fleet: Fleet
-    draw: random.Random
+    rng: random.Random
     start: str
     accounts: dict[str, Account] = field(default_factory=dict)
     owned: dict[str, OwnedAccount] = field(default_factory=dict)
@@ -320,7 +320,7 @@
         share = limit_alone(limit, entries)
         if account.fallback is None:
             account.fallback = open_account(share, now)
-        if self.draw.random() >= admission_chance(limit, entries):
+        if self.rng.random() >= admission_chance(limit, entries):
             return Decision(Exhausted.requests, share.window_seconds)
         admitted = account.list_admitted(now)
         admitted.pop(NO_OWNER, None)
--- a/src/wigeonpier/entry/main.py
+++ b/src/wigeonpier/entry/main.py
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Run an entry process until it is told to stop.
+    """Run an entry process until a signal stops it.
 
     :returns: exit status.
     """
--- a/src/wigeonpier/entry/online.py
+++ b/src/wigeonpier/entry/online.py
@@ -1,4 +1,4 @@
-"""Handlers of online requests."""
+"""Handlers of online inference requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from wigeonpier.entry.resends import (
     OnlineResends,
     digest_parts,
-    name_online,
+    name_online_resend,
 )
 from wigeonpier.entry.uploads import find_service
 from wigeonpier.errors import ErrorKind, Refusal
@@ -30,17 +30,17 @@
     from wigeonpier.settings.holder import ConfigurationHolder
     from wigeonpier.web.messages import Request, Response
 
-AFFINITY_BYTES = 512
-TRUTHS = MappingProxyType({'true': True, 'false': False})
+AFFINITY_PREFIX_BYTES = 512
+BOOLEANS = MappingProxyType({'true': True, 'false': False})
 
 
 class CompletionHead(msgspec.Struct):
-    """What an entry reads of a completion request.
+    """The fields of a completion request that an entry decodes.
 
     :param model: model to run.
     :param stream: whether the answer is streamed.
-    :param messages: chat so far, not looked into.
-    :param prompt: prompt, not looked into.
+    :param messages: messages of the chat, not decoded.
+    :param prompt: prompt, not decoded.
     """
 
     model: str
@@ -50,7 +50,7 @@
 
 
 class ModelPage(msgspec.Struct):
-    """A model as the published interface shows it."""
+    """A model as ``/v1/models`` lists it."""
 
     id: str
     object: str = 'model'
@@ -60,13 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineHandler:
-    """What online handlers use.
+    """Handles online requests.
 
     :param holder: configuration in force.
     :param forwarder: sends requests to upstreams.
     :param limits: limits of customers.
-    :param resends: runs requests that carry a key once.
-    :param data_centre: where this entry stands.
+    :param resends: runs requests with an Idempotency-Key once.
+    :param data_centre: data centre of this entry.
     """
 
     holder: ConfigurationHolder
@@ -76,9 +76,9 @@
     data_centre: str
 
     def complete(self, request: Request) -> Response:
-        """Answer a completion, streamed or whole.
+        """Answer a completion request, streamed or in one piece.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :returns: the upstream's answer.
         """
         deployment = self.holder.deployment
@@ -91,8 +91,8 @@
                 ErrorKind.invalid_request,
                 'expected messages or prompt',
             )
-        ask = self._make_ask(deployment, name, head)
-        return self._send(request, request.path, body, ask)
+        criteria = self._make_criteria(deployment, name, head)
+        return self._send(request, request.path, body, criteria)
 
     def call_service(
         self,
@@ -100,9 +100,9 @@
         name: str,
         _rest: str,
     ) -> Response:
-        """Pass any call on to a plain service.
+        """Forward a call to a plain service.
 
-        :param request: the caller's.
+        :param request: the caller's request.
         :param name: name of the service.
         :param _rest: path at the service.
         :returns: the service's answer.
@@ -115,28 +115,34 @@
         path = request.path
         if request.query:
             path = f'{path}?{request.query}'
-        ask = self._make_ask(deployment, name, CompletionHead(model=''))
-        return self._send(request, path, body, ask)
+        criteria = self._make_criteria(
+            deployment, name, CompletionHead(model='')
+        )
+        return self._send(request, path, body, criteria)
 
     def list_models(self, _request: Request) -> Response:
         """List the models that callers may use.
 
-        :param _request: the caller's.
+        :param _request: the caller's request.
         :returns: the list.
         """
         services = self.holder.deployment.services.values()
-        names = sorted({name for each in services for name in each.models})
+        names = sorted(
+            {name for service in services for name in service.models}
+        )
         return answer_json(ListPage([ModelPage(name) for name in names]))
 
-    def _make_ask(
+    def _make_criteria(
         self,
         deployment: Deployment,
         service: str,
         head: CompletionHead,
     ) -> Ask:
-        start = (bytes(head.messages) or bytes(head.prompt))[:AFFINITY_BYTES]
+        start = (bytes(head.messages) or bytes(head.prompt))[
+            :AFFINITY_PREFIX_BYTES
+        ]
         affinity = ''
-        if len(start) == AFFINITY_BYTES:
+        if len(start) == AFFINITY_PREFIX_BYTES:
             affinity = xxhash.xxh3_64_hexdigest(start)
         return Ask(
             service=service,
@@ -151,15 +157,15 @@
         request: Request,
         path: str,
         body: bytes,
-        ask: Ask,
+        criteria: Ask,
     ) -> Response:
         deployment = self.holder.deployment
-        service = deployment.services[ask.service]
+        service = deployment.services[criteria.service]
         pending = PendingRequest(
             request=request,
             path=path,
             body=body,
-            ask=ask,
+            criteria=criteria,
             is_idempotent=read_idempotent(request, service),
             deadline=time.monotonic() + service.deadline_seconds,
         )
@@ -167,7 +173,7 @@
         if not key or pending.is_idempotent:
             return self._admit(pending)
         return self.resends.run_once(
-            name_online(request.customer, key),
+            name_online_resend(request.customer, key),
             digest_parts(request.method.encode(), path.encode(), body),
             deployment.batch.resend_hours,
             lambda: self._admit(pending),
@@ -178,37 +184,37 @@
         request = pending.request
         customers = self.holder.deployment.customers
         limits = customers[request.customer].limits
-        held = ExitStack()
-        account = held.enter_context(
+        admission = ExitStack()
+        account = admission.enter_context(
             self.limits.acquire(request.customer, limits)
         )
         try:
             response = self.forwarder.send(pending)
         except BaseException:
-            held.close()
+            admission.close()
             raise
         response.on_close.append(lambda: _charge(account, pending))
-        response.on_close.append(held.close)
+        response.on_close.append(admission.close)
         return response
 
 
 def read_idempotent(request: Request, service: Service) -> bool:
-    """Tell whether a request may run more than once.
+    """Check whether a request may run more than once.
 
-    :param request: the caller's.
-    :param service: gives the default.
-    :returns: what the header says, or the default.
-    :raises Refusal: when the header holds something else.
+    :param request: the caller's request.
+    :param service: service with the default.
+    :returns: value of the header, or the default.
+    :raises Refusal: when the header is neither true nor false.
     """
-    said = request.headers.get(headers.IDEMPOTENT)
-    if said is None:
+    value = request.headers.get(headers.IDEMPOTENT)
+    if value is None:
         return service.idempotent
-    if said.lower() not in TRUTHS:
+    if value.lower() not in BOOLEANS:
         raise Refusal(
             ErrorKind.invalid_request,
             f'{headers.IDEMPOTENT}: expected true or false',
         )
-    return TRUTHS[said.lower()]
+    return BOOLEANS[value.lower()]
 
 
 def _charge(account: Account, pending: PendingRequest) -> None:
--- a/src/wigeonpier/entry/peers.py
+++ b/src/wigeonpier/entry/peers.py
@@ -1,4 +1,4 @@
-"""Handlers of calls from other processes."""
+"""Handlers of calls from other processes of the fleet."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHandler:
-    """What handlers of peers use.
+    """Handles the calls of other entries and local processes.
 
     :param holder: configuration in force.
     :param directory: view of the fleet.
-    :param board: work to offer.
+    :param board: chunks to offer.
     :param limits: limits of customers.
     :param caller: connections to peers.
-    :param suspicions: what is known of requests that end upstreams.
+    :param suspicions: requests that are suspected of crashing upstreams.
     """
 
     holder: ConfigurationHolder
@@ -49,10 +49,10 @@
     caller: HttpCaller
     suspicions: Suspicions
 
-    def take_heartbeat(self, request: Request) -> Response:
-        """Take in a heartbeat and answer with news and offers.
+    def handle_heartbeat(self, request: Request) -> Response:
+        """Record a heartbeat and answer with updates and offers.
 
-        :param request: a peer's.
+        :param request: the peer's request.
         :returns: the reply.
         """
         heartbeat = decode_body(request.read_body(), Heartbeat)
@@ -62,13 +62,13 @@
             self.limits.record_peer_usage(heartbeat.address, heartbeat.usage)
         if heartbeat.version > self.holder.version:
             gevent.spawn(self._fetch_configuration, heartbeat.address)
-        news = self.directory.collect_news()
+        summary = self.directory.collect_news()
         return answer_json(
             HeartbeatReply(
                 version=self.holder.version,
-                entries=news.entries,
-                disks=news.disks,
-                gone=news.gone,
+                entries=summary.entries,
+                disks=summary.disks,
+                gone=summary.gone,
                 offers=self.board.offer_work(heartbeat),
                 stopped=self.board.list_stopped(heartbeat.held),
                 suspicions=self.suspicions.summarize(),
@@ -78,26 +78,26 @@
         )
 
     def decide_limit(self, request: Request) -> Response:
-        """Admit requests of a customer for another entry.
+        """Decide on a customer's requests for another entry.
 
-        :param request: a peer's.
+        :param request: the peer's request.
         :returns: the decision.
         """
         call = decode_body(request.read_body(), LimitCall)
         return answer_json(self.limits.answer(call))
 
     def show_configuration(self, _request: Request) -> Response:
-        """Give the configuration in force.
+        """Show the configuration in force.
 
-        :param _request: a peer's.
-        :returns: the bundle as it is kept.
+        :param _request: the peer's request.
+        :returns: the bundle as it is stored.
         """
         if not self.holder.raw:
             raise Refusal(ErrorKind.not_ready, 'no configuration was seen yet')
         return Response(HTTPStatus.OK, self.holder.raw)
 
     def _list_usage(self, heartbeat: Heartbeat) -> tuple[Usage, ...]:
-        """List usage for an entry that may have just started."""
+        """List usage for another entry, which may have just started."""
         if heartbeat.role is not Role.entry:
             return ()
         return self.limits.report()
--- a/src/wigeonpier/entry/resends.py
+++ b/src/wigeonpier/entry/resends.py
@@ -1,4 +1,4 @@
-"""Online requests with an Idempotency-Key run once, on whichever entry."""
+"""Runs online requests with an Idempotency-Key once over all entries."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
     from wigeonpier.platform.port import Entry, Platform
 
-WRITE_SECONDS = 5.0
+WRITE_TIMEOUT_SECONDS = 5.0
 TOKEN_BYTES = 8
 HOUR_SECONDS = 3600
-LARGEST_KEPT = 256_000
+MAX_STORED_BYTES = 256_000
 
 
-class KeptAnswer(msgspec.Struct):
-    """What is kept of a request that carries a key.
+class StoredAnswer(msgspec.Struct):
+    """A request with a key and its answer, as stored.
 
-    :param token: drawn by the entry that runs it.
-    :param digest: digest of the whole request.
+    :param token: random id of the run.
+    :param digest: digest of the complete request.
     :param created: seconds since the epoch.
     :param status: HTTP status of its answer, 0 until there is one.
     :param content_type: media type of its answer.
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineResends:
-    """Agrees with the other entries on who runs a request.
+    """Chooses the entry that runs a request by a compare-and-swap.
 
     :param platform: the port.
     """
@@ -64,62 +64,65 @@
         hours: float,
         run: Callable[[], Response],
     ) -> Response:
-        """Run a request unless it was begun before, on any entry.
+        """Run a request unless any entry has started it before.
 
         :param key: key of the request in the key-value service.
-        :param digest: digest of the whole request.
-        :param hours: how long a key is remembered.
-        :param run: runs it.
-        :returns: its answer, now or from before.
-        :raises Refusal: when it was begun and has no answer that is kept.
+        :param digest: digest of the complete request.
+        :param hours: how long a stored answer is valid.
+        :param run: runs the request.
+        :returns: the new answer or the stored one.
+        :raises Refusal: when the request was started before and no answer is
+            stored.
         """
         entry = self._read(key)
         if entry is not None:
-            kept = msgspec.json.decode(entry.value, type=KeptAnswer)
-            if time.time() - kept.created < hours * HOUR_SECONDS:
-                return _answer_again(kept, digest)
-        begun = KeptAnswer(
+            stored = msgspec.json.decode(entry.value, type=StoredAnswer)
+            if time.time() - stored.created < hours * HOUR_SECONDS:
+                return _replay_answer(stored, digest)
+        answer = StoredAnswer(
             secrets.token_hex(TOKEN_BYTES),
             digest,
             time.time(),
         )
-        revision = self._begin(key, begun, entry.revision if entry else 0)
+        revision = self._record_start(
+            key, answer, entry.revision if entry else 0
+        )
         if isinstance(revision, Response):
             return revision
-        return self._run(key, begun, revision, run)
+        return self._run_and_store(key, answer, revision, run)
 
-    def _begin(
+    def _record_start(
         self,
         key: str,
-        begun: KeptAnswer,
+        answer: StoredAnswer,
         revision: int,
     ) -> int | Response:
-        raw = msgspec.json.encode(begun)
+        raw = msgspec.json.encode(answer)
         wrote = swap_certainly(
             self.platform,
             key,
             raw,
             revision,
             lambda found: found.value == raw,
-            WRITE_SECONDS,
+            WRITE_TIMEOUT_SECONDS,
         )
         if isinstance(wrote, Ok):
             return wrote.ok_value
         if wrote.err_value is not Failure.conflict:
-            # Nothing was sent to an upstream yet.
+            # Nothing has been sent to an upstream yet.
             refusal = refuse_write(wrote.err_value)
             refusal.ran = Ran.no
             raise refusal
         entry = self._read(key)
         if entry is None:
             raise Refusal(ErrorKind.conflict, 'the resend key changes')
-        kept = msgspec.json.decode(entry.value, type=KeptAnswer)
-        return _answer_again(kept, begun.digest)
+        stored = msgspec.json.decode(entry.value, type=StoredAnswer)
+        return _replay_answer(stored, answer.digest)
 
-    def _run(
+    def _run_and_store(
         self,
         key: str,
-        begun: KeptAnswer,
+        answer: StoredAnswer,
         revision: int,
         run: Callable[[], Response],
     ) -> Response:
@@ -130,11 +133,11 @@
                 self.platform.swap(key, None, revision)
             raise
         body = response.body
-        if isinstance(body, bytes) and len(body) <= LARGEST_KEPT:
-            begun.status = response.status
-            begun.content_type = response.content_type
-            begun.body = body
-            self.platform.swap(key, msgspec.json.encode(begun), revision)
+        if isinstance(body, bytes) and len(body) <= MAX_STORED_BYTES:
+            answer.status = response.status
+            answer.content_type = response.content_type
+            answer.body = body
+            self.platform.swap(key, msgspec.json.encode(answer), revision)
         return response
 
     def _read(self, key: str) -> Entry | None:
@@ -144,12 +147,12 @@
         return read.ok_value
 
 
-def name_online(customer: str, key: str) -> str:
-    """Name the key of an online request.
+def name_online_resend(customer: str, key: str) -> str:
+    """Make the key under which an online request is stored.
 
-    :param customer: who sent it.
+    :param customer: name of the customer.
     :param key: its Idempotency-Key.
-    :returns: name in the key-value service.
+    :returns: key in the key-value service.
     """
     return name_resend(customer, digest_parts(b'online', key.encode()))
 
@@ -157,21 +160,21 @@
 def digest_parts(*parts: bytes) -> str:
     """Digest the parts of a request.
 
-    :param parts: what tells it from others.
+    :param parts: parts that identify the request.
     :returns: SHA-256, hexadecimal.
     """
     return hashlib.sha256(b'\0'.join(parts)).hexdigest()
 
 
-def _answer_again(kept: KeptAnswer, digest: str) -> Response:
-    if kept.digest != digest:
+def _replay_answer(stored: StoredAnswer, digest: str) -> Response:
+    if stored.digest != digest:
         raise Refusal(
             ErrorKind.key_reused,
             'the Idempotency-Key was used for another request',
         )
-    if not kept.status:
+    if not stored.status:
         raise Refusal(
             ErrorKind.outcome_unknown,
             'a request with this key was begun; it runs, or its answer is lost',
         )
-    return Response(kept.status, kept.body, kept.content_type)
+    return Response(stored.status, stored.body, stored.content_type)
--- a/src/wigeonpier/entry/uploads.py
+++ b/src/wigeonpier/entry/uploads.py
@@ -1,4 +1,4 @@
-"""Takes in batch files as a stream, checks each line, and keeps pages."""
+"""Receives batch files as a stream, checks each line and stores pages."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 PURPOSE = 'batch'
 FILE_FIELD = 'file'
 PURPOSE_FIELD = 'purpose'
-MOST_FIELD = 1_000
-SERVICES = '/services/'
+MAX_FIELD_BYTES = 1_000
+SERVICES_PREFIX = '/services/'
 SHARD_BITS = 8
 HASH_BITS = 64
-NEW_LINE = b'\n'
+LINE_FEED = b'\n'
 FILE_ID_BYTES = 12
 
 _LINE_DECODER = msgspec.json.Decoder(Line)
@@ -53,8 +53,8 @@
 class IdSet:
     """Hashes of custom ids, packed: 8 bytes each.
 
-    Two different ids of one file share a 64-bit hash once in a hundred
-    million files of 530,000 lines; such a file would be refused.
+    A file with two different ids of the same 64-bit hash is refused; that
+    happens to one in a hundred million files of 530,000 lines.
     """
 
     shards: list[array[int]] = field(
@@ -62,38 +62,38 @@
     )
 
     def add(self, custom_id: str) -> None:
-        """Note an id.
+        """Add an id.
 
-        :param custom_id: the caller's id.
+        :param custom_id: the caller's id of a line.
         """
         digest = xxhash.xxh3_64_intdigest(custom_id.encode())
         self.shards[digest >> (HASH_BITS - SHARD_BITS)].append(digest)
 
-    def has_twice(self) -> bool:
-        """Tell whether an id was noted twice."""
+    def has_duplicates(self) -> bool:
+        """Check whether an id was added more than once."""
         return any(len(set(shard)) < len(shard) for shard in self.shards)
 
 
 @dataclass(slots=True)
-class LineCutter:
-    """Cuts arriving bytes into lines of bounded length.
+class LineSplitter:
+    """Splits received bytes into lines of bounded length.
 
-    :param limit: most bytes of a line.
-    :param rest: start of a line whose end has not arrived.
+    :param limit: maximum bytes of a line.
+    :param remainder: start of a line whose end has not arrived.
     """
 
     limit: int
-    rest: bytes = b''
+    remainder: bytes = b''
 
     def feed(self, part: bytes) -> list[bytes]:
-        """Take in bytes.
+        """Add received bytes.
 
-        :param part: bytes as they arrive.
-        :returns: whole lines without their ends.
+        :param part: the bytes.
+        :returns: complete lines without line feeds.
         """
-        *lines, rest = (self.rest + part).split(NEW_LINE)
-        self.rest = rest
-        if len(self.rest) > self.limit:
+        *lines, remainder = (self.remainder + part).split(LINE_FEED)
+        self.remainder = remainder
+        if len(self.remainder) > self.limit:
             raise Refusal(
                 ErrorKind.body_too_large,
                 f'a line may have at most {self.limit} bytes',
@@ -103,16 +103,18 @@
 
 @dataclass(slots=True)
 class Upload:
-    """A file on its way in.
+    """A file that is being received.
 
-    :param file_id: its id.
+    :param file_id: id of the file.
     :param deployment: configuration in force.
     :param disks: reaches data folders.
     :param copies: folders that have all pages so far.
-    :param pages: lines of each page that is kept.
-    :param lines: lines of the page that is filled.
+    :param pages: number of lines of each stored page.
+    :param lines: lines of the current page.
     :param url: path that the lines call.
     :param model: model that the lines run.
+    :param size: bytes received.
+    :param count: lines received, without blank ones.
     """
 
     file_id: str
@@ -130,10 +132,10 @@
     _digest: hashlib._Hash = field(default_factory=hashlib.sha256)
 
     def add_line(self, raw: bytes) -> None:
-        """Check a line and keep it.
+        """Check a line and add it to the current page.
 
-        :param raw: the line; blank ones are passed over.
-        :raises Refusal: naming the line and what is wrong with it.
+        :param raw: the line; blank lines are skipped.
+        :raises Refusal: naming the line and its problem.
         """
         self.size += len(raw) + 1
         line = raw.strip()
@@ -142,7 +144,7 @@
         self.count += 1
         self._check_line(line)
         self._digest.update(line)
-        self._digest.update(NEW_LINE)
+        self._digest.update(LINE_FEED)
         self.lines.append(line)
         self._page_bytes += len(line) + 1
         is_full = len(self.lines) >= choose_page_size(len(self.pages))
@@ -150,18 +152,18 @@
             self._write_page()
 
     def finish(self, customer: str, filename: str) -> FileRecord:
-        """Keep the last page and check the file as a whole.
+        """Store the last page and check the complete file.
 
-        :param customer: whose it is.
+        :param customer: name of the customer.
         :param filename: name that the caller gave.
         :returns: the file's record.
-        :raises Refusal: when it is empty or an id stands twice.
+        :raises Refusal: when it is empty or an id occurs more than once.
         """
         if self.lines:
             self._write_page()
         if not self.pages:
             raise _refuse('the file has no lines')
-        if self._ids.has_twice():
+        if self._ids.has_duplicates():
             raise _refuse('a custom_id stands in more than one line')
         return FileRecord(
             id=self.file_id,
@@ -178,7 +180,7 @@
         )
 
     def discard(self) -> None:
-        """Delete the pages that were kept."""
+        """Delete the stored pages."""
         for incarnation in self.copies:
             self.disks.remove(incarnation, f'files/{self.file_id}')
 
@@ -203,7 +205,7 @@
         self._ids.add(line.custom_id)
 
     def _write_page(self) -> None:
-        content = NEW_LINE.join((*self.lines, b''))
+        content = LINE_FEED.join((*self.lines, b''))
         index = len(self.pages)
         self.copies = write_everywhere(
             self.copies,
@@ -225,21 +227,21 @@
     request: Request,
     deployment: Deployment,
     disks: DiskClient,
-    choices: list[Disk],
+    candidates: list[Disk],
 ) -> FileRecord:
-    """Take in an upload.
+    """Receive an upload.
 
     :param request: multipart form with ``purpose`` and ``file``.
     :param deployment: configuration in force.
     :param disks: reaches data folders.
-    :param choices: folders that may be chosen.
-    :returns: the record of the file; its pages are kept on all copies.
-    :raises Refusal: when the form or a line is wrong, or too few folders
-        are in reach; nothing of the file is left then.
+    :param candidates: folders that may be chosen.
+    :returns: the record of the file; its pages are stored in all copies.
+    :raises Refusal: when the form or a line is invalid, or too few folders
+        are reachable; stored pages are deleted then.
     """
     request.body_limit = deployment.upload_limit
     file_id = f'file-{secrets.token_hex(FILE_ID_BYTES)}'
-    chosen = choose_copies(choices, file_id, deployment.batch.copies)
+    chosen = choose_copies(candidates, file_id, deployment.batch.copies)
     if len(chosen) < deployment.batch.least_copies:
         raise refuse_storage(len(chosen))
     upload = Upload(
@@ -260,13 +262,13 @@
     """Find the service that a path and model belong to.
 
     :param deployment: configuration in force.
-    :param url: path that is called.
-    :param model: model that is run.
+    :param url: path that a request calls.
+    :param model: model that it runs.
     :returns: name of the service.
     :raises Refusal: when there is none.
     """
-    if url.startswith(SERVICES):
-        name = url.removeprefix(SERVICES).partition('/')[0]
+    if url.startswith(SERVICES_PREFIX):
+        name = url.removeprefix(SERVICES_PREFIX).partition('/')[0]
         if name in deployment.services:
             return name
         raise Refusal(ErrorKind.not_found, f'there is no service {name!r}')
@@ -278,24 +280,24 @@
     raise Refusal(ErrorKind.model_not_found, f'there is no model {model!r}')
 
 
-def refuse_storage(reached: int) -> Refusal:
+def refuse_storage(reachable: int) -> Refusal:
     """Make the refusal for too few data folders.
 
-    :param reached: how many were reached.
+    :param reachable: number of folders that were reached.
     :returns: the refusal; nothing was accepted.
     """
     return Refusal(
         ErrorKind.storage_down,
-        f'only {reached} data folders can be reached',
+        f'only {reachable} data folders can be reached',
     )
 
 
 @dataclass(slots=True)
 class _Form:
-    """What has arrived of an upload's form."""
+    """The part of an upload's form that has been received."""
 
     upload: Upload
-    cutter: LineCutter
+    splitter: LineSplitter
     fields: dict[str, bytes] = field(default_factory=dict)
     filename: str = ''
     current: str = ''
@@ -306,23 +308,23 @@
 
     def feed(self, content: bytes) -> None:
         if self.current == FILE_FIELD:
-            for line in self.cutter.feed(content):
+            for line in self.splitter.feed(content):
                 self.upload.add_line(line)
             return
-        so_far = self.fields.get(self.current, b'')
-        if len(so_far) + len(content) > MOST_FIELD:
+        received = self.fields.get(self.current, b'')
+        if len(received) + len(content) > MAX_FIELD_BYTES:
             raise _refuse(f'{self.current}: too long')
-        self.fields[self.current] = so_far + content
+        self.fields[self.current] = received + content
 
     def finish(self) -> None:
-        if self.cutter.rest:
-            self.upload.add_line(self.cutter.rest)
+        if self.splitter.remainder:
+            self.upload.add_line(self.splitter.remainder)
         if self.fields.get(PURPOSE_FIELD) != PURPOSE.encode():
             raise _refuse('purpose: expected batch')
 
 
 def _feed_upload(request: Request, upload: Upload) -> str:
-    form = _Form(upload, LineCutter(upload.deployment.line_limit))
+    form = _Form(upload, LineSplitter(upload.deployment.line_limit))
     for event in _parse_form(request):
         if isinstance(event, MultipartSegment):
             form.begin_part(event)
