--- a/src/wigeonpier/models.py
+++ b/src/wigeonpier/models.py
@@ -1,4 +1,4 @@
-"""What the hosted daemons know, without the platform's names."""
+"""Data models of the hosted daemons, independent of the platform's names."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times that the site promises, in seconds.
+    """Guarantees of the site; times in seconds.
 
-    :param grace: from SIGTERM to SIGKILL.
+    :param grace: time from SIGTERM to SIGKILL.
     :param job_readable: how long a job stays readable after it was sent.
     :param contact: how long after a disturbance a process may still act on
-        what it knew before.
-    :param revocation: after that nothing runs with a key that was taken away,
-        0 where that is not promised.
-    :param quota_window: length of the spans over which limits of customers
+        its earlier state.
+    :param revocation: time after which nothing runs with a revoked key, 0
+        where that is not guaranteed.
+    :param quota_window: length of the window in which limits of customers
         hold.
-    :param quota_overage: part of a limit that is borne beyond it in such a
-        span.
-    :param quota_slack: requests that are borne besides.
+    :param quota_overage: tolerated excess in a window, as a share of the
+        limit.
+    :param quota_slack: tolerated requests on top of that.
     """
 
     grace: float
@@ -34,23 +34,23 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """What a process on the platform is told.
+    """Settings of a process on the platform.
 
     :param name: name of its VM.
-    :param data_centre: where it stands.
+    :param data_centre: data centre of its VM.
     :param region: region of its data centre.
     :param regions: region of each data centre.
     :param store: ``host:port`` of the key-value service.
-    :param store_history: seconds for which it keeps old changes.
-    :param bounds: times that the site promises.
-    :param callers: ``host:port`` for callers, empty where it has none.
-    :param readiness: ``host:port`` for the balancer, empty for none.
-    :param upstream: ``host:port`` of the upstream on its VM, or empty.
+    :param store_history: seconds for which the service stores old changes.
+    :param bounds: guarantees of the site.
+    :param callers: ``host:port`` for callers, empty for none.
+    :param readiness: ``host:port`` for the load balancer, empty for none.
+    :param upstream: ``host:port`` of the upstream on its VM, empty for none.
     :param service: service of that upstream.
-    :param metrics: ``host:port`` for numbers.
+    :param metrics: ``host:port`` for metrics.
     :param peers: ``host:port`` for other processes of the system.
-    :param data_folder: folder on a disk, empty where there is none.
-    :param disks_lost: disks that may be lost at the same time.
+    :param data_folder: folder on a disk, empty for none.
+    :param disks_lost: number of disks that may be lost at the same time.
     """
 
     name: str
@@ -72,15 +72,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """An upstream as the register shows it.
+    """An upstream as the register lists it.
 
-    :param name: its id; another start may have the same one.
+    :param name: its id; a later start may have the same id.
     :param address: ``host:port``.
     :param service: service that it is a replica of.
-    :param data_centre: where it stands.
+    :param data_centre: data centre of its VM.
     :param slots: requests that it runs at once.
-    :param is_leaving: takes no new work.
-    :param incarnation: grows with each start, 0 where it is not told.
+    :param is_leaving: whether it accepts no new work.
+    :param incarnation: grows with each start, 0 where it is unknown.
     :param version: version of its software.
     """
 
@@ -96,12 +96,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamReport:
-    """What an upstream says of its load.
+    """Load that an upstream reports.
 
     :param running: requests that run.
     :param waiting: requests that wait for a slot.
-    :param is_leaving: takes no new work.
-    :param incarnation: grows with each start, 0 where it is not told.
+    :param is_leaving: whether it accepts no new work.
+    :param incarnation: grows with each start, 0 where it is unknown.
     """
 
     running: int
@@ -112,12 +112,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuestionLoad:
-    """What the process beside an upstream tells entries of it.
+    """Load of an upstream that its worker reports to entries.
 
-    :param questions: requests there that are no batch items.
-    :param takes_work: whether it answers and is not leaving.
-    :param incarnation: grows with each start, 0 where it is not told.
-    :param has_store: whether the key-value service answers the process.
+    :param questions: online requests at the upstream.
+    :param takes_work: whether the upstream answers and is not leaving.
+    :param incarnation: grows with each start, 0 where it is unknown.
+    :param has_store: whether the key-value service answers the worker.
     """
 
     questions: int
@@ -128,11 +128,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """What the process beside an upstream answers to who asks for a slot.
+    """Answer of a worker to a request for a slot of its upstream.
 
-    :param is_granted: whether one is set aside.
-    :param load: the load there, without the slot that was just set aside.
-    :param trial: what keeps a suspected question away, empty for nothing.
+    :param is_granted: whether a slot is reserved.
+    :param load: load of the upstream, without the slot just reserved.
+    :param trial: why a suspected request may not run there, empty for no
+        reason.
     """
 
     is_granted: bool
@@ -147,8 +148,8 @@
     :param name: its id, unique in the job.
     :param path: path at the upstream.
     :param headers: headers of the request.
-    :param body: its bytes.
-    :param tokens: tokens of the prompt and most tokens of the output.
+    :param body: body of the request.
+    :param tokens: tokens of the prompt plus maximum tokens of the output.
     """
 
     name: str
@@ -167,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemResult:
-    """Final state of an item; it never changes.
+    """Final result of an item; it never changes.
 
     :param name: id of the item.
     :param state: how it ended.
@@ -181,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultPage:
-    """Results of a job from a position on.
+    """Results of a job, starting at a position.
 
     :param total: items of the job.
     :param results: results in order.
@@ -193,20 +194,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenJob:
-    """What every process knows of a job with items left.
+    """A job with unfinished items, as every process knows it.
 
     :param name: id of the job.
     :param route: name of its route.
     :param host: host that the caller named.
     :param service: service that runs it.
-    :param sent_at: when it was accepted, seconds of the day's clock.
+    :param sent_at: when it was accepted, seconds of the wall clock.
     :param run_objective: seconds after which it is due.
-    :param retention: seconds that an item must be tried.
-    :param tries: failed runs after which an item is given up.
+    :param retention: seconds for which an item must be attempted.
+    :param tries: failed runs after which an item is abandoned.
     :param tokens: tokens of all items.
     :param owners: VM that runs each item, by position in the job.
-    :param parts: how many keys hold the items.
-    :param customer: whose job it is, empty where nobody needs a key.
+    :param parts: number of keys that store the items.
+    :param customer: customer of the job, empty where no key is needed.
     :param priority: rank of its items, 0 is the highest.
     """
 
@@ -227,11 +228,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A process that runs batch items beside its upstream.
+    """A worker that runs batch items at its upstream.
 
     :param name: name of its VM.
     :param service: service of its upstream.
-    :param data_centre: where it stands.
+    :param data_centre: data centre of its VM.
     """
 
     name: str
@@ -241,12 +242,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """Items of one job that one process runs.
+    """Items of one job that are assigned to one worker.
 
     :param job: their job.
-    :param indexes: positions of the items.
-    :param items: the items, none where they are too large for one key.
-    :param is_moved: whether another process may have run them before.
+    :param indexes: positions of the items in the job.
+    :param items: the items, empty where they are too large for one key.
+    :param is_moved: whether another worker may have run them before.
     """
 
     job: OpenJob
@@ -257,9 +258,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldJob:
-    """A job that was accepted while the store was away.
+    """A job that was accepted while the store was unavailable.
 
-    :param job: the job; nobody owns its items yet.
+    :param job: the job; its items have no owner yet.
     :param items: all items.
     """
 
@@ -269,7 +270,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskMember:
-    """A process that keeps accepted jobs while the store is away.
+    """A process that stores accepted jobs while the store is unavailable.
 
     :param name: name of its VM.
     :param address: ``host:port`` for entries.
@@ -281,11 +282,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemProgress:
-    """How far an unfinished item is.
+    """Progress of an unfinished item.
 
     :param texts: data of its events so far.
-    :param last_event: id of the last of them.
-    :param failures: runs that an upstream failed.
+    :param last_event: id of the last event.
+    :param failures: number of runs that failed at an upstream.
     """
 
     texts: tuple[str, ...]
--- a/src/wigeonpier/records.py
+++ b/src/wigeonpier/records.py
@@ -1,4 +1,4 @@
-"""What the journal of a chunk says of its items."""
+"""Records in the journal of a chunk."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Begin(msgspec.Struct, tag='begin', array_like=True):
-    """An item may run from now on.
+    """An item is about to run.
 
     :param item: position in the chunk.
-    :param alone: whether nothing else of a job runs at the upstream.
+    :param alone: whether no other batch item runs at the upstream.
     """
 
     item: int
@@ -28,7 +28,7 @@
 
 
 class Release(msgspec.Struct, tag='release', array_like=True):
-    """A begun item stopped with nobody to blame, and may begin again.
+    """A started item was stopped without a failure and may run again.
 
     :param item: position in the chunk.
     """
@@ -37,10 +37,10 @@
 
 
 class Failure(msgspec.Struct, tag='failure', array_like=True):
-    """A begun item failed while the upstream was well.
+    """A started item failed while the upstream kept working.
 
     :param item: position in the chunk.
-    :param reason: what the upstream said.
+    :param reason: reason that the upstream gave.
     """
 
     item: int
@@ -48,13 +48,13 @@
 
 
 class Outcome(msgspec.Struct, tag='outcome', array_like=True):
-    """The one result of an item.
+    """The only result of an item.
 
     :param item: position in the chunk.
     :param status: how it ended.
     :param custom_id: the caller's id of the item.
     :param code: HTTP status of the upstream, 0 where it did not answer.
-    :param body: the upstream's answer, or an error that says what is known.
+    :param body: the upstream's answer or an error.
     :param prompt_tokens: tokens read, for billing.
     :param answer_tokens: tokens generated, for billing.
     """
@@ -69,9 +69,9 @@
 
 
 class Ready(msgspec.Struct, tag='ready', array_like=True):
-    """All that older segments said stands before this line.
+    """The state from older segments is complete up to this record.
 
-    :param items: how many items the chunk has.
+    :param items: number of items in the chunk.
     """
 
     items: int
--- a/src/wigeonpier/served.py
+++ b/src/wigeonpier/served.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, without the platform's names."""
+"""The operator's configuration, independent of the platform's names."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with the requests of a route."""
+    """How the requests of a route may be run."""
 
     repeatable = 'repeatable'
     once = 'once'
@@ -25,18 +25,18 @@
 
     :param name: its name.
     :param host: host that callers name.
-    :param prefix: start of the paths.
-    :param kind: what may be done with its requests.
+    :param prefix: prefix of the paths.
+    :param kind: how its requests may be run.
     :param services: services with their weights.
-    :param timeout: longest time a caller is kept waiting, seconds.
+    :param timeout: maximum time that a caller waits, seconds.
     :param objective: latency objective, seconds.
-    :param tries: most upstreams that may run one request.
-    :param is_resumable: whether a stream may go on at another upstream.
+    :param tries: maximum number of upstreams that may run one request.
+    :param is_resumable: whether a stream may continue at another upstream.
     :param priority: rank, 0 is the highest.
-    :param run_objective: how long after its first send a job is due, seconds.
-    :param retention: how long an item must be tried, seconds.
-    :param most_tokens: tokens that may wait on the route, of each customer
-        where there are any, 0 for no limit.
+    :param run_objective: time from its first send until a job is due, seconds.
+    :param retention: how long an item must be attempted, seconds.
+    :param most_tokens: maximum tokens that may wait on the route, for each
+        customer where there are customers, 0 for no limit.
     :param is_open: whether it is served without a key.
     """
 
@@ -57,7 +57,7 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Check whether a request may run more than once."""
         if self.kind is RouteKind.stream:
             return self.is_resumable
         return self.kind is not RouteKind.once
@@ -67,11 +67,11 @@
 class ServedCustomer:
     """A customer of the operator's configuration.
 
-    :param name: its name, which upstreams are told.
-    :param priority: rank of its requests, 0 is the highest; ``None`` where
-        that is the route's.
-    :param rate: requests a second, 0 for no limit.
-    :param burst: requests on top in a span, whatever its length.
+    :param name: its name, which is sent to upstreams.
+    :param priority: rank of its requests, 0 is the highest; ``None`` for the
+        rank of the route.
+    :param rate: requests per second, 0 for no limit.
+    :param burst: requests allowed beyond the rate in a window of any length.
     """
 
     name: str
@@ -86,9 +86,9 @@
 
     :param version: grows with each change.
     :param routes: all routes.
-    :param body_limit: most bytes of a body.
-    :param customers: customers by key, ``None`` where nobody needs a key.
-    :param oddities: what in it cannot be meant as it stands, in words.
+    :param body_limit: maximum bytes of a body.
+    :param customers: customers by key, ``None`` where no key is needed.
+    :param oddities: descriptions of entries that look like mistakes.
     """
 
     version: int
