--- a/src/wigeonpier/errors.py
+++ b/src/wigeonpier/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that each one gets."""
+"""The closed list of error kinds and the answer to each of them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Ran(StrEnum):
-    """What is known about whether the refused work ran."""
+    """Whether the refused request may have run."""
 
     no = 'no'
     unknown = 'unknown'
 
 
 class ErrorKind(StrEnum):
-    """Every kind of error that a caller can meet."""
+    """Every kind of error that a caller can receive."""
 
     invalid_request = 'invalid_request'
     body_too_large = 'body_too_large'
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """How one kind of error is told to a caller.
+    """The answer to a caller for one kind of error.
 
     :param status: HTTP status.
-    :param ran: what the kind itself says about the work.
+    :param ran: whether the request may have run, as far as the kind tells.
     :param retry_after: seconds after which a retry may help, ``None`` when
         the same request will not succeed later.
     :param help_text: advice for the caller, shown in ``docs/errors.md``.
@@ -199,9 +199,10 @@
 
     :param kind: kind of the error.
     :param message: what was wrong and what to do.
-    :param ran: overrides the kind's own statement where more is known.
-    :param retry_after: overrides the kind's own advice, in seconds.
-    :param retry_seconds: the same with fractions, for callers that take them.
+    :param ran: overrides the value of the kind.
+    :param retry_after: overrides the value of the kind, in seconds.
+    :param retry_seconds: the same with fractions, for callers that accept
+        them.
     """
 
     def __init__(
@@ -213,7 +214,7 @@
         retry_after: int | None = None,
         retry_seconds: float | None = None,
     ) -> None:
-        """Keep the kind and fill the gaps from the table."""
+        """Set what is not given to the values of the kind."""
         super().__init__(message)
         answer = ANSWERS[kind]
         self.kind = kind
--- a/src/wigeonpier/invariants.py
+++ b/src/wigeonpier/invariants.py
@@ -1,7 +1,7 @@
-"""Checks of the promises, made where the promise could be broken.
+"""Checks invariants of the system where they could be violated.
 
-In tests a broken promise raises; in production it is logged as a numbered
-event and counted, because stopping would harm more callers than going on.
+A violation raises in tests.  In production it is logged as a numbered event
+and counted, because stopping would harm more callers than continuing.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Promise(StrEnum):
-    """What must always hold, one name a promise of the brief."""
+    """Invariants that the system guarantees at all times."""
 
     exactly_one_result = 'exactly_one_result'
     cancelled_job_stops = 'cancelled_job_stops'
@@ -31,26 +31,26 @@
 
 
 class BrokenPromiseError(AssertionError):
-    """A promise was found broken while invariants are strict."""
+    """An invariant was violated while checks are strict."""
 
 
 violations: Counter[Promise] = Counter()
 
 
 def is_strict() -> bool:
-    """Tell whether a broken promise raises.
+    """Check whether a violation raises.
 
-    :returns: true where the environment asks for it, as tests do.
+    :returns: true where the environment variable is set, as in tests.
     """
     return os.environ.get(STRICT_VARIABLE) == '1'
 
 
 def check_promise(holds: bool, promise: Promise, detail: str) -> None:
-    """Record a broken promise, and raise where invariants are strict.
+    """Record a violation, and raise where checks are strict.
 
-    :param holds: whether the promise holds here.
-    :param promise: the promise that is checked.
-    :param detail: what was seen, for the log.
+    :param holds: whether the invariant holds.
+    :param promise: the invariant that is checked.
+    :param detail: description of the violation, for the log.
     :raises BrokenPromiseError: when it does not hold and checks are strict.
     """
     if holds:
--- a/src/wigeonpier/loops.py
+++ b/src/wigeonpier/loops.py
@@ -1,4 +1,4 @@
-"""Loops of controllers that outlive a failed step."""
+"""Background loops that continue after a failed step."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 def spawn_loop(
     name: str, step: Callable[[], object]
 ) -> gevent.Greenlet[..., None]:
-    """Run a step again and again; the step itself waits.
+    """Run a step repeatedly; the step itself sleeps.
 
-    A step that fails is logged and tried again after a pause, so that one
-    odd message does not end a controller for good.
+    A step that fails is logged and repeated after a pause, so that one
+    invalid message does not stop a loop for good.
 
-    :param name: the loop, for the log.
-    :param step: one round.
+    :param name: name of the loop, for the log.
+    :param step: runs one iteration.
     :returns: the greenlet.
     """
     return gevent.spawn(_run, name, step)
