--- a/src/wigeonpier/process.py
+++ b/src/wigeonpier/process.py
@@ -1,4 +1,4 @@
-"""What both daemons are built of, and how they start and stop."""
+"""Components that both daemons share, and how daemons start and stop."""
 
 from __future__ import annotations
 
@@ -40,40 +40,42 @@
     from wigeonpier.telemetry.trace import SpanRecord
     from wigeonpier.web.server import Route
 
-BOOT_BYTES = 8
-# Two heartbeats: by then a process that has just started has heard of each
-# folder in reach.
-SETTLE_SECONDS = 2.0
-SETTLE_STEP_SECONDS = 0.05
+BOOT_ID_BYTES = 8
+# Two heartbeat periods, after which a process that has just started knows
+# every reachable data folder.
+DISCOVERY_SECONDS = 2.0
+DISCOVERY_POLL_SECONDS = 0.05
 USAGE_STATUS = 2
 
 Settings = TypeVar('Settings', bound=ProcessSettings)
 
 
 class App(Protocol):
-    """A wired daemon."""
+    """A daemon that is ready to start."""
 
     def start(self) -> str:
-        """Listen, and give the address."""
+        """Start the daemon and return the address that it listens on."""
 
     def leave(self, seconds: float) -> int:
-        """Drain for so many seconds, and give what is left."""
+        """Drain for so many seconds; return the requests still in flight."""
 
 
 @dataclass(slots=True)
 class Parts:
-    """Parts that both daemons have.
+    """Components that both daemons have.
 
-    :param settings: what the process was told.
-    :param boot: drawn anew at each start.
-    :param metrics: numbers of the process.
-    :param caller: connections to peers; shows the peer key.
+    :param settings: settings of the process.
+    :param boot: random id of this start.
+    :param metrics: metrics of the process.
+    :param caller: connections to peers; sends the peer key.
     :param platform: port to the platform.
     :param holder: configuration in force.
-    :param export: takes finished spans.
+    :param export: exports finished spans.
     :param draw: source of randomness.
-    :param folder: bulk data, where the process has a folder.
-    :param suspicions: what it knows of requests that end upstreams.
+    :param folder: data folder, ``None`` where the process has none.
+    :param is_leaving: whether the process accepts no new work.
+    :param address: ``host:port`` for callers and peers, empty before start.
+    :param suspicions: requests that are suspected of crashing upstreams.
     """
 
     settings: ProcessSettings
@@ -96,12 +98,12 @@
         """
         if self.folder is None:
             return None
-        room = os.statvfs(self.settings.data_folder)
+        free_space = os.statvfs(self.settings.data_folder)
         return DiskReport(
             self.folder.incarnation,
             self.address,
             self.settings.data_centre,
-            room.f_bavail * room.f_frsize,
+            free_space.f_bavail * free_space.f_frsize,
         )
 
 
@@ -109,18 +111,18 @@
     settings: ProcessSettings,
     make_caller: Callable[[dict[str, str]], HttpCaller] = HttpCaller,
 ) -> Parts:
-    """Build what both daemons have.
+    """Build the components that both daemons have.
 
-    :param settings: what the process was told.
+    :param settings: settings of the process.
     :param make_caller: makes the connections to peers and the platform.
-    :returns: the parts; nothing runs yet.
+    :returns: the components; nothing is started yet.
     """
     folder = None
     if settings.data_folder:
         folder = DataFolder(settings.data_folder, measure_time)
     return Parts(
         settings=settings,
-        boot=secrets.token_hex(BOOT_BYTES),
+        boot=secrets.token_hex(BOOT_ID_BYTES),
         metrics=Metrics(),
         caller=make_caller({PEER_KEY: settings.peer_keys[0]}),
         platform=GatewayPlatform(make_caller({}), settings.platform),
@@ -138,19 +140,22 @@
     caller: HttpCaller,
     find_disks: Callable[[], dict[str, DiskReport]],
 ) -> DiskClient:
-    """Make the client that finds data folders in a view of the fleet.
+    """Make a client that finds data folders in a view of the fleet.
+
+    For some seconds after the start the client waits for a folder that is not
+    known yet.
 
     :param caller: connections to peers.
-    :param find_disks: gives the folders in reach by incarnation.
+    :param find_disks: returns the reachable folders by incarnation.
     :returns: the client.
     """
 
-    settled_at = time.monotonic() + SETTLE_SECONDS
+    deadline = time.monotonic() + DISCOVERY_SECONDS
 
     def find_address(incarnation: str) -> str | None:
         report = find_disks().get(incarnation)
-        while report is None and time.monotonic() < settled_at:
-            gevent.sleep(SETTLE_STEP_SECONDS)
+        while report is None and time.monotonic() < deadline:
+            gevent.sleep(DISCOVERY_POLL_SECONDS)
             report = find_disks().get(incarnation)
         return report.address if report else None
 
@@ -158,10 +163,11 @@
 
 
 def make_common_routes(parts: Parts) -> list[Route]:
-    """List the paths that every daemon has.
+    """List the routes that every daemon has.
 
-    :param parts: what both daemons have.
-    :returns: pages, and the data folder where there is one.
+    :param parts: components of the daemon.
+    :returns: routes of the status pages, and of the data folder where there
+        is one.
     """
     routes = make_page_routes(
         lambda: HealthPage(
@@ -188,9 +194,9 @@
 ) -> int:
     """Run a daemon from its command line.
 
-    :param program: its name.
-    :param model: what its settings have to be.
-    :param build: wires it.
+    :param program: name of the program.
+    :param model: model of its settings.
+    :param build: builds the daemon.
     :returns: exit status.
     """
     parser = argparse.ArgumentParser(program)
@@ -213,49 +219,50 @@
     drain_seconds: float,
     app: App,
 ) -> int:
-    """Run a daemon until it is told to stop.
+    """Run a daemon until a signal stops it.
 
-    The first signal drains; the second one, or the limit of the settings,
-    cuts off what is left and says what.
+    The first signal starts the drain.  A second signal, or the time limit of
+    the settings, aborts the remaining work and logs that.
 
     :param program: name of the program.
-    :param drain_seconds: longest wait for work in hand.
+    :param drain_seconds: maximum wait for work in progress.
     :param app: the daemon.
     :returns: exit status.
     """
-    wanted = watch_signals()
+    stop_requested = watch_signals()
     address = app.start()
     log_event(Event.process_started, program=program, address=address)
-    wanted.wait()
-    return _leave(program, drain_seconds, app)
+    stop_requested.wait()
+    return _drain(program, drain_seconds, app)
 
 
 def watch_signals() -> Signal:
-    """Wait for SIGTERM or SIGINT, also where the starter ignored them.
+    """Handle SIGTERM and SIGINT, even if the parent process ignored them.
 
-    :returns: set by the first signal; the second one ends the process.
+    :returns: event that the first signal sets; a second signal exits the
+        process at once.
     """
-    wanted = Signal()
+    stop_requested = Signal()
 
     def note_signal() -> None:
-        if wanted.is_set():
+        if stop_requested.is_set():
             log_event(Event.work_cut, why='second signal')
             sys.stderr.flush()
             os._exit(1)
-        wanted.set()
+        stop_requested.set()
 
     gevent.signal_handler(signal.SIGTERM, note_signal)
     gevent.signal_handler(signal.SIGINT, note_signal)
-    return wanted
+    return stop_requested
 
 
-def _leave(program: str, drain_seconds: float, app: App) -> int:
+def _drain(program: str, drain_seconds: float, app: App) -> int:
     log_event(Event.process_leaving, program=program)
     left = app.leave(drain_seconds)
     check_promise(
         not left,
         Promise.shutdown_cuts_nothing,
-        f'{left} in hand at the limit of the settings',
+        f'{left} in progress at the end of the drain time',
     )
     if left:
         log_event(Event.work_cut, why='drain limit', in_hand=left)
