--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data and of sites to test on."""
+"""Builders of test data and of sites for scenarios."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 FAST = EngineShape(step_seconds=0.004, step_per_stream=0.0002)
 SLOW = EngineShape(step_seconds=0.05, step_per_stream=0.0002)
-STEP_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
 @dataclass
 class Bench:
-    """One scenario's site, client and findings."""
+    """Site, client and results of one scenario."""
 
     site: StandInSite = None  # type: ignore[assignment]
     client: Client = None  # type: ignore[assignment]
@@ -86,13 +86,13 @@
         return self.job
 
     def finish(self, seconds: float = 60) -> None:
-        """Wait for the job's end and read its results."""
+        """Wait until the job has finished and read its results."""
         self.client.addresses = self.site.list_addresses()
         self.batch = self.client.await_batch(self.job, seconds)
         self.results = self.client.read_results(self.batch)
 
     def ask(self, prompt: str = 'what is R1?', length: int = 8) -> Any:
-        """Ask one question."""
+        """Send one online request."""
         return self.client.ask(Arrival(0, prompt, length))
 
     def count_starts(self, prompt: str) -> int:
@@ -104,38 +104,38 @@
         )
 
     def all_replicas(self) -> list[Any]:
-        """List replicas, crashed ones included."""
+        """List all replicas, including crashed ones."""
         return [*self.site.replicas.values(), *self.notes.get('lost', [])]
 
     def crash_replica(self, name: str) -> None:
-        """Lose an upstream VM, and remember what it ran."""
+        """Crash an upstream VM and keep its replica for later checks."""
         replica = self.site.replicas[name]
         self.notes.setdefault('lost', []).append(replica)
         self.site.crash_replica(name)
 
     def list_owners(self) -> set[str]:
-        """List VMs that own a chunk in work."""
+        """List VMs that own an unfinished chunk."""
         return {
-            held.claim.owner
+            cached.claim.owner
             for job in self.site.find_entry().app.board.jobs.values()
-            for held in job.claims.values()
-            if held.claim.owner and not held.claim.is_done
+            for cached in job.claims.values()
+            if cached.claim.owner and not cached.claim.is_done
         }
 
     def close(self) -> None:
-        """Stop everything."""
+        """Stop the site and remove its files."""
         self.stack.close()
 
 
 def wait_for(check: Callable[[], Any], seconds: float = 10) -> Any:
-    """Wait until a check gives something true."""
-    give_up = time.monotonic() + seconds
-    while time.monotonic() < give_up:
+    """Poll a check until its result is true, and return the result."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         found = check()
         if found:
             return found
-        gevent.sleep(STEP_SECONDS)
-    raise AssertionError(f'did not come true within {seconds} s')
+        gevent.sleep(POLL_SECONDS)
+    raise AssertionError(f'condition not met within {seconds} s')
 
 
 def build_job(pages: tuple[int, ...] = (4, 4), **changes: Any) -> Job:
@@ -182,7 +182,7 @@
 
 
 def build_disk(name: str, data_centre: str = 'a', free: int = 1 << 40) -> Disk:
-    """Build a data folder that can be chosen."""
+    """Build a data folder that copies can be placed in."""
     return Disk(name, f'10.0.0.2:{len(name)}', data_centre, free)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Settings of randomised runs, and tests that are known to fail.
+"""Settings of Hypothesis, and handling of tests that are known to fail.
 
-What KNOWN-RED.txt lists is run like all others; that it fails is printed and
-does not fail the run.
+Tests that KNOWN-RED.txt lists are run like all others; their failures are
+printed and do not fail the run.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 
 
 @pytest.fixture(autouse=True)
-def _forget_violations() -> None:
-    """Let no test see what another one broke on purpose."""
+def _clear_violations() -> None:
+    """Clear violations that an earlier test caused on purpose."""
     violations.clear()
 
 
@@ -41,7 +41,7 @@
 def pytest_runtest_makereport(
     item: pytest.Item,
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Tell of a known failure without failing the run."""
+    """Report a known failure without failing the run."""
     report = yield
     names = {item.name, getattr(item, 'originalname', item.name)}
     if report.failed and names & list_known_red():
@@ -53,7 +53,7 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Print what failed as known."""
+    """Print the known failures."""
     for report in terminalreporter.stats.get('passed', []):
         for kind, name in report.user_properties:
             if kind == PROPERTY:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Broken promises are found, counted, and raised where that is asked for."""
+"""Violated invariants are counted, and raise where checks are strict."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize('promise', list(Promise))
-def test_a_broken_promise_is_counted_and_raised(promise, monkeypatch) -> None:
+def test_violation_is_counted_and_raised(promise, monkeypatch) -> None:
     check_promise(True, promise, 'holds')
     assert not violations
     monkeypatch.setenv(STRICT_VARIABLE, '1')
@@ -29,7 +29,7 @@
     assert violations[promise] == 2
 
 
-def test_each_promise_is_checked_somewhere() -> None:
+def test_each_invariant_is_checked_somewhere() -> None:
     folder = Path(wigeonpier.__file__).parent
     sources = [
         path.read_text()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports run downwards: no package knows one that stands above it."""
+"""Packages are layered: none imports a package of a higher layer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import wigeonpier
 
 ROOT = Path(wigeonpier.__file__).parent
-# Lowest first; packages of one line do not import each other.
+# Lowest layer first; packages of one layer do not import each other.
 LAYERS = (
     ('models', 'records', 'errors', 'served'),
     ('telemetry',),
@@ -34,7 +34,7 @@
 
 
 def list_imports(source: Path) -> set[str]:
-    """List the packages of ours that a module imports."""
+    """List the packages of the project that a module imports."""
     tree = ast.parse(source.read_text(encoding='utf-8'))
     return {
         node.module.split('.')[1]
@@ -46,9 +46,9 @@
 
 
 @pytest.mark.parametrize('package', sorted(RANKS))
-def test_no_package_imports_one_above_it(package: str) -> None:
-    single = ROOT / f'{package}.py'
-    sources = [single] if single.exists() else (ROOT / package).rglob('*.py')
+def test_no_package_imports_a_higher_layer(package: str) -> None:
+    module = ROOT / f'{package}.py'
+    sources = [module] if module.exists() else (ROOT / package).rglob('*.py')
     upward = {
         (str(source.relative_to(ROOT)), imported)
         for source in sources
