--- a/src/wigeonpier/entry/configuration.py
+++ b/src/wigeonpier/entry/configuration.py
@@ -90,7 +90,7 @@
             self._check_edited_version(current, application)
             self._archive(current)
         raw = msgspec.json.encode(bundle)
-        wrote = swap_certainly(
+        written = swap_certainly(
             self.platform,
             keys.CONFIGURATION,
             raw,
@@ -98,8 +98,8 @@
             lambda entry: _read_operation(entry) == application.operation,
             WRITE_TIMEOUT_SECONDS,
         )
-        if isinstance(wrote, Err):
-            return self._resolve_failed_write(application, wrote.err_value)
+        if isinstance(written, Err):
+            return self._resolve_failed_write(application, written.err_value)
         self.holder.adopt(raw)
         return Accepted(bundle.version, application.operation)
 
@@ -171,7 +171,7 @@
     def _archive(self, current: Entry) -> None:
         """Copy the current version to the history before it is replaced."""
         newest = msgspec.json.decode(current.value, type=Bundle)
-        wrote = swap_certainly(
+        written = swap_certainly(
             self.platform,
             _name_history(newest.version),
             current.value,
@@ -179,7 +179,7 @@
             lambda entry: entry.value == current.value,
             WRITE_TIMEOUT_SECONDS,
         )
-        if isinstance(wrote, Ok) or wrote.err_value is Failure.conflict:
+        if isinstance(written, Ok) or written.err_value is Failure.conflict:
             return
         raise refuse_platform()
 
--- a/src/wigeonpier/entry/copies.py
+++ b/src/wigeonpier/entry/copies.py
@@ -111,10 +111,10 @@
             return False
         if value is None:
             return True
-        wrote = self.platform.swap(entry.key, value, entry.revision)
-        if isinstance(wrote, Ok):
+        written = self.platform.swap(entry.key, value, entry.revision)
+        if isinstance(written, Ok):
             log_event(Event.copy_restored, key=entry.key, gone=gone)
-        return isinstance(wrote, Ok)
+        return isinstance(written, Ok)
 
     def _repair_file(self, entry: Entry, gone: str) -> bytes | None:
         record = msgspec.json.decode(entry.value, type=FileRecord)
@@ -192,10 +192,10 @@
             lambda copy: self.disks.read_page(copy, file_id, index),
         )
         if page is None:
-            raise CopyError('no copy of a page answers')
-        wrote = self.disks.write_page(target, file_id, index, page)
-        if isinstance(wrote, Err):
-            raise CopyError('the new folder took no page')
+            raise CopyError('no copy of a page can be read')
+        written = self.disks.write_page(target, file_id, index, page)
+        if isinstance(written, Err):
+            raise CopyError('a page was not written to the new folder')
 
     def _repair_segment(
         self,
@@ -217,10 +217,10 @@
             lambda copy: self.disks.read_segment(copy, name),
         )
         if content is None:
-            raise CopyError('no copy of a segment answers')
-        wrote = self.disks.append(target, name, 0, content)
-        if isinstance(wrote, Err):
-            raise CopyError('the new folder took no segment')
+            raise CopyError('no copy of a segment can be read')
+        written = self.disks.append(target, name, 0, content)
+        if isinstance(written, Err):
+            raise CopyError('a segment was not written to the new folder')
         return Segment(segment.fence, (*remaining, target))
 
     def _choose_target(
@@ -241,5 +241,5 @@
         ]
         chosen = choose_copies(separate or free, key, 1)
         if not chosen:
-            raise CopyError('no other folder is in reach')
+            raise CopyError('no other folder is reachable')
         return remaining, chosen[0].incarnation
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -57,7 +57,7 @@
     """Finalizes jobs together with the other entries.
 
     Rendezvous hashing chooses one entry for each job, which acts at once; the
-    others act only when the job is still there some seconds later.  Acting
+    others act only when the job is not finalized some seconds later.  Acting
     twice is harmless, since every step is a compare-and-swap.
 
     :param board: jobs and claims.
@@ -167,7 +167,7 @@
         check_promise(
             all(claim.is_done for claim in claims.values()),
             Promise.exactly_one_result,
-            f'{job.id} ends with chunks in work',
+            f'{job.id} was finalized with unfinished chunks',
         )
         finished = FinishedJob(
             job=job,
@@ -179,7 +179,7 @@
             finished=int(time.time()),
         )
         raw = msgspec.json.encode(finished)
-        wrote = swap_certainly(
+        written = swap_certainly(
             self.workshop().platform,
             keys.name_results(job.customer, job.id),
             raw,
@@ -187,10 +187,10 @@
             lambda entry: entry.value == raw,
             WRITE_TIMEOUT_SECONDS,
         )
-        if isinstance(wrote, Ok):
+        if isinstance(written, Ok):
             log_event(Event.job_finished, job=job.id, status=status.value)
             self._store_on_disks(job, raw)
-        if isinstance(wrote, Ok) or wrote.err_value is Failure.conflict:
+        if isinstance(written, Ok) or written.err_value is Failure.conflict:
             self._mark_ended(cached)
 
     def _store_on_disks(self, job: Job, raw: bytes) -> None:
@@ -219,12 +219,12 @@
         """
         platform = self.workshop().platform
         job = cached.job
-        wrote = platform.swap(
+        written = platform.swap(
             keys.name_job(job.customer, job.id),
             msgspec.json.encode(mark_ended(job)),
             cached.revision,
         )
-        if isinstance(wrote, Ok):
+        if isinstance(written, Ok):
             # One call deletes all claims.  An owner that claims a chunk now
             # finds the tombstone.
             platform.delete_prefix(keys.name_claims(job.id))
--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -114,7 +114,8 @@
 class _StreamConnection:
     """The upstream slot and connection that a stream occupies.
 
-    The server releases it as well, since a body may never be iterated.
+    It is also released when the response is closed, since a body may never
+    be iterated.
     """
 
     state: UpstreamState
--- a/src/wigeonpier/entry/jobs.py
+++ b/src/wigeonpier/entry/jobs.py
@@ -182,7 +182,7 @@
         :param record: the file; its pages are stored already.
         """
         raw = msgspec.json.encode(record)
-        wrote = swap_certainly(
+        written = swap_certainly(
             self.platform,
             keys.name_file(record.customer, record.id),
             raw,
@@ -190,8 +190,8 @@
             lambda entry: entry.value == raw,
             WRITE_TIMEOUT_SECONDS,
         )
-        if isinstance(wrote, Err):
-            raise refuse_write(wrote.err_value)
+        if isinstance(written, Err):
+            raise refuse_write(written.err_value)
 
     def read_finished(self, customer: str, job_id: str) -> FinishedJob | None:
         """Read a finished job.
@@ -255,7 +255,7 @@
             return _check_same_digest(existing, digest)
         resend = _make_resend(digest)
         raw = msgspec.json.encode(resend)
-        wrote = swap_certainly(
+        written = swap_certainly(
             self.platform,
             key,
             raw,
@@ -263,10 +263,10 @@
             lambda found: found.value == raw,
             WRITE_TIMEOUT_SECONDS,
         )
-        if isinstance(wrote, Ok):
+        if isinstance(written, Ok):
             return resend
-        if wrote.err_value is not Failure.conflict:
-            raise refuse_write(wrote.err_value)
+        if written.err_value is not Failure.conflict:
+            raise refuse_write(written.err_value)
         stored = self._read(key)
         if stored is None:
             raise Refusal(ErrorKind.conflict, 'the resend key changes')
@@ -291,7 +291,7 @@
 
     def _write_job(self, job: Job) -> BatchPage:
         raw = msgspec.json.encode(job)
-        wrote = swap_certainly(
+        written = swap_certainly(
             self.platform,
             keys.name_job(job.customer, job.id),
             raw,
@@ -299,8 +299,11 @@
             lambda entry: entry.value == raw,
             WRITE_TIMEOUT_SECONDS,
         )
-        if isinstance(wrote, Err) and wrote.err_value is not Failure.conflict:
-            raise refuse_write(wrote.err_value)
+        if (
+            isinstance(written, Err)
+            and written.err_value is not Failure.conflict
+        ):
+            raise refuse_write(written.err_value)
         log_event(
             Event.job_accepted,
             job=job.id,
@@ -311,7 +314,7 @@
 
     def _replace(self, entry: Entry, job: Job) -> bool:
         raw = msgspec.json.encode(job)
-        wrote = swap_certainly(
+        written = swap_certainly(
             self.platform,
             entry.key,
             raw,
@@ -319,11 +322,11 @@
             lambda found: found.value == raw,
             WRITE_TIMEOUT_SECONDS,
         )
-        if isinstance(wrote, Ok):
+        if isinstance(written, Ok):
             return True
-        if wrote.err_value is Failure.conflict:
+        if written.err_value is Failure.conflict:
             return False
-        raise refuse_write(wrote.err_value)
+        raise refuse_write(written.err_value)
 
     def _read(self, key: str) -> Entry | None:
         read = self.platform.get(key)
--- a/src/wigeonpier/entry/resends.py
+++ b/src/wigeonpier/entry/resends.py
@@ -98,7 +98,7 @@
         revision: int,
     ) -> int | Response:
         raw = msgspec.json.encode(answer)
-        wrote = swap_certainly(
+        written = swap_certainly(
             self.platform,
             key,
             raw,
@@ -106,11 +106,11 @@
             lambda found: found.value == raw,
             WRITE_TIMEOUT_SECONDS,
         )
-        if isinstance(wrote, Ok):
-            return wrote.ok_value
-        if wrote.err_value is not Failure.conflict:
+        if isinstance(written, Ok):
+            return written.ok_value
+        if written.err_value is not Failure.conflict:
             # Nothing has been sent to an upstream yet.
-            refusal = refuse_write(wrote.err_value)
+            refusal = refuse_write(written.err_value)
             refusal.ran = Ran.no
             raise refusal
         entry = self._read(key)
--- a/src/wigeonpier/errors.py
+++ b/src/wigeonpier/errors.py
@@ -43,11 +43,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorAnswer:
     """The answer to a caller for one kind of error.
 
     :param status: HTTP status.
-    :param ran: whether the request may have run, as far as the kind tells.
+    :param ran: whether the request may have run, judged by the kind alone.
     :param retry_after: seconds after which a retry may help, ``None`` when
         the same request will not succeed later.
     :param help_text: advice for the caller, shown in ``docs/errors.md``.
@@ -61,130 +61,130 @@
 
 ANSWERS = MappingProxyType(
     {
-        ErrorKind.invalid_request: Answer(
+        ErrorKind.invalid_request: ErrorAnswer(
             HTTPStatus.BAD_REQUEST,
             Ran.no,
             None,
             'Correct the request; the message names the field.',
         ),
-        ErrorKind.body_too_large: Answer(
+        ErrorKind.body_too_large: ErrorAnswer(
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             Ran.no,
             None,
             'Send a smaller body; the message gives the limit.',
         ),
-        ErrorKind.unauthenticated: Answer(
+        ErrorKind.unauthenticated: ErrorAnswer(
             HTTPStatus.UNAUTHORIZED,
             Ran.no,
             None,
             'Send a valid key as a bearer token.',
         ),
-        ErrorKind.forbidden: Answer(
+        ErrorKind.forbidden: ErrorAnswer(
             HTTPStatus.FORBIDDEN,
             Ran.no,
             None,
             'Ask an operator for the role that is named.',
         ),
-        ErrorKind.not_found: Answer(
+        ErrorKind.not_found: ErrorAnswer(
             HTTPStatus.NOT_FOUND, Ran.no, None, 'Check the path and the id.'
         ),
-        ErrorKind.method_not_allowed: Answer(
+        ErrorKind.method_not_allowed: ErrorAnswer(
             HTTPStatus.METHOD_NOT_ALLOWED,
             Ran.no,
             None,
             'Use a method that the path takes.',
         ),
-        ErrorKind.model_not_found: Answer(
+        ErrorKind.model_not_found: ErrorAnswer(
             HTTPStatus.NOT_FOUND,
             Ran.no,
             None,
             'Use a model that /v1/models lists.',
         ),
-        ErrorKind.key_reused: Answer(
+        ErrorKind.key_reused: ErrorAnswer(
             HTTPStatus.CONFLICT,
             Ran.no,
             None,
             'Use a new Idempotency-Key for a new request.',
         ),
-        ErrorKind.conflict: Answer(
+        ErrorKind.conflict: ErrorAnswer(
             HTTPStatus.CONFLICT,
             Ran.no,
             None,
             'Read the current state and decide again.',
         ),
-        ErrorKind.limit_reached: Answer(
+        ErrorKind.limit_reached: ErrorAnswer(
             HTTPStatus.TOO_MANY_REQUESTS,
             Ran.no,
             1,
             'Slow down, or ask for a higher limit.',
         ),
-        ErrorKind.overloaded: Answer(
+        ErrorKind.overloaded: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             1,
             'Try again after the time given.',
         ),
-        ErrorKind.leaving: Answer(
+        ErrorKind.leaving: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             1,
             'The process is leaving; try another.',
         ),
-        ErrorKind.not_ready: Answer(
+        ErrorKind.not_ready: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             2,
             'The process has no configuration yet.',
         ),
-        ErrorKind.no_upstream: Answer(
+        ErrorKind.no_upstream: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             2,
             'No upstream of the service takes work now.',
         ),
-        ErrorKind.platform_down: Answer(
+        ErrorKind.platform_down: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             10,
             'The key-value service does not answer.',
         ),
-        ErrorKind.storage_down: Answer(
+        ErrorKind.storage_down: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             5,
             'Too few data folders can be reached.',
         ),
-        ErrorKind.deadline_passed: Answer(
+        ErrorKind.deadline_passed: ErrorAnswer(
             HTTPStatus.GATEWAY_TIMEOUT,
             Ran.no,
             None,
             'The deadline passed before work was started.',
         ),
-        ErrorKind.upstream_lost: Answer(
+        ErrorKind.upstream_lost: ErrorAnswer(
             HTTPStatus.BAD_GATEWAY,
             Ran.unknown,
             1,
             'The upstream was lost; resend idempotent work.',
         ),
-        ErrorKind.upstream_failed: Answer(
+        ErrorKind.upstream_failed: ErrorAnswer(
             HTTPStatus.BAD_GATEWAY,
             Ran.unknown,
             1,
             'The upstream failed; resend idempotent work.',
         ),
-        ErrorKind.outcome_unknown: Answer(
+        ErrorKind.outcome_unknown: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.unknown,
             2,
             'Resend with the same Idempotency-Key.',
         ),
-        ErrorKind.ends_upstreams: Answer(
+        ErrorKind.ends_upstreams: ErrorAnswer(
             HTTPStatus.BAD_REQUEST,
             Ran.no,
             None,
             'Upstreams end when they run it; change it, or ask an operator.',
         ),
-        ErrorKind.internal: Answer(
+        ErrorKind.internal: ErrorAnswer(
             HTTPStatus.INTERNAL_SERVER_ERROR,
             Ran.unknown,
             None,
--- a/tests/entry/test_limits.py
+++ b/tests/entry/test_limits.py
@@ -211,7 +211,7 @@
         admitted.append(
             sum(site.send(number % entries) for number in range(REQUESTS)),
         )
-    # The owner decides by itself with the whole limit.
+    # The owner itself still admits up to the complete limit.
     assert sum(admitted) / len(admitted) <= 2 * RATE * WINDOW_SECONDS
     assert min(admitted) >= 1
 
