--- a/src/wigeonpier/entry/limits.py
+++ b/src/wigeonpier/entry/limits.py
@@ -43,8 +43,9 @@
 # Pauses before an owner that did not answer is called again.
 INITIAL_PAUSE_SECONDS = 0.5
 MAX_PAUSE_SECONDS = 4.0
-# Stands in for the owner of requests that were admitted while none answered.
-NO_OWNER = ''
+# Key of requests that were admitted without an owner, or by entries that are
+# gone, in place of an address.
+UNATTRIBUTED = ''
 
 
 @dataclass(slots=True)
@@ -323,16 +324,16 @@
         if self.rng.random() >= admission_chance(limit, entries):
             return Decision(Exhausted.requests, share.window_seconds)
         admitted = account.list_admitted(now)
-        admitted.pop(NO_OWNER, None)
+        admitted.pop(UNATTRIBUTED, None)
         elsewhere = sum(admitted.values())
         decision = decide(
             account.fallback,
             share,
-            Demand(NO_OWNER, 1, elsewhere, account.in_progress, 0),
+            Demand(UNATTRIBUTED, 1, elsewhere, account.in_progress, 0),
             now,
         )
         if not decision.exhausted:
-            self._record_admitted(account, limit, NO_OWNER, now)
+            self._record_admitted(account, limit, UNATTRIBUTED, now)
         return decision
 
     def _record_admitted(
@@ -363,7 +364,7 @@
         # The rest of the total was admitted by entries that are gone; only
         # the previous owner counted it.
         missing = total - account.count_admitted(now)
-        account.note_elsewhere(NO_OWNER, max(0, missing), now)
+        account.note_elsewhere(UNATTRIBUTED, max(0, missing), now)
         self.owned[customer] = account
         return account
 
