--- a/src/wigeonpier/errors.py
+++ b/src/wigeonpier/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that each one gets."""
+"""The closed list of error kinds and the answer to each of them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Ran(StrEnum):
-    """What is known about whether the refused work ran."""
+    """Whether the refused request may have run."""
 
     no = 'no'
     unknown = 'unknown'
 
 
 class ErrorKind(StrEnum):
-    """Every kind of error that a caller can meet."""
+    """Every kind of error that a caller can receive."""
 
     invalid_request = 'invalid_request'
     body_too_large = 'body_too_large'
@@ -43,11 +43,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """How one kind of error is told to a caller.
+class ErrorAnswer:
+    """The answer to a caller for one kind of error.
 
     :param status: HTTP status.
-    :param ran: what the kind itself says about the work.
+    :param ran: whether the request may have run, judged by the kind alone.
     :param retry_after: seconds after which a retry may help, ``None`` when
         the same request will not succeed later.
     :param help_text: advice for the caller, shown in ``docs/errors.md``.
@@ -61,130 +61,130 @@
 
 ANSWERS = MappingProxyType(
     {
-        ErrorKind.invalid_request: Answer(
+        ErrorKind.invalid_request: ErrorAnswer(
             HTTPStatus.BAD_REQUEST,
             Ran.no,
             None,
             'Correct the request; the message names the field.',
         ),
-        ErrorKind.body_too_large: Answer(
+        ErrorKind.body_too_large: ErrorAnswer(
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             Ran.no,
             None,
             'Send a smaller body; the message gives the limit.',
         ),
-        ErrorKind.unauthenticated: Answer(
+        ErrorKind.unauthenticated: ErrorAnswer(
             HTTPStatus.UNAUTHORIZED,
             Ran.no,
             None,
             'Send a valid key as a bearer token.',
         ),
-        ErrorKind.forbidden: Answer(
+        ErrorKind.forbidden: ErrorAnswer(
             HTTPStatus.FORBIDDEN,
             Ran.no,
             None,
             'Ask an operator for the role that is named.',
         ),
-        ErrorKind.not_found: Answer(
+        ErrorKind.not_found: ErrorAnswer(
             HTTPStatus.NOT_FOUND, Ran.no, None, 'Check the path and the id.'
         ),
-        ErrorKind.method_not_allowed: Answer(
+        ErrorKind.method_not_allowed: ErrorAnswer(
             HTTPStatus.METHOD_NOT_ALLOWED,
             Ran.no,
             None,
             'Use a method that the path takes.',
         ),
-        ErrorKind.model_not_found: Answer(
+        ErrorKind.model_not_found: ErrorAnswer(
             HTTPStatus.NOT_FOUND,
             Ran.no,
             None,
             'Use a model that /v1/models lists.',
         ),
-        ErrorKind.key_reused: Answer(
+        ErrorKind.key_reused: ErrorAnswer(
             HTTPStatus.CONFLICT,
             Ran.no,
             None,
             'Use a new Idempotency-Key for a new request.',
         ),
-        ErrorKind.conflict: Answer(
+        ErrorKind.conflict: ErrorAnswer(
             HTTPStatus.CONFLICT,
             Ran.no,
             None,
             'Read the current state and decide again.',
         ),
-        ErrorKind.limit_reached: Answer(
+        ErrorKind.limit_reached: ErrorAnswer(
             HTTPStatus.TOO_MANY_REQUESTS,
             Ran.no,
             1,
             'Slow down, or ask for a higher limit.',
         ),
-        ErrorKind.overloaded: Answer(
+        ErrorKind.overloaded: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             1,
             'Try again after the time given.',
         ),
-        ErrorKind.leaving: Answer(
+        ErrorKind.leaving: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             1,
             'The process is leaving; try another.',
         ),
-        ErrorKind.not_ready: Answer(
+        ErrorKind.not_ready: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             2,
             'The process has no configuration yet.',
         ),
-        ErrorKind.no_upstream: Answer(
+        ErrorKind.no_upstream: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             2,
             'No upstream of the service takes work now.',
         ),
-        ErrorKind.platform_down: Answer(
+        ErrorKind.platform_down: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             10,
             'The key-value service does not answer.',
         ),
-        ErrorKind.storage_down: Answer(
+        ErrorKind.storage_down: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             5,
             'Too few data folders can be reached.',
         ),
-        ErrorKind.deadline_passed: Answer(
+        ErrorKind.deadline_passed: ErrorAnswer(
             HTTPStatus.GATEWAY_TIMEOUT,
             Ran.no,
             None,
             'The deadline passed before work was started.',
         ),
-        ErrorKind.upstream_lost: Answer(
+        ErrorKind.upstream_lost: ErrorAnswer(
             HTTPStatus.BAD_GATEWAY,
             Ran.unknown,
             1,
             'The upstream was lost; resend idempotent work.',
         ),
-        ErrorKind.upstream_failed: Answer(
+        ErrorKind.upstream_failed: ErrorAnswer(
             HTTPStatus.BAD_GATEWAY,
             Ran.unknown,
             1,
             'The upstream failed; resend idempotent work.',
         ),
-        ErrorKind.outcome_unknown: Answer(
+        ErrorKind.outcome_unknown: ErrorAnswer(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.unknown,
             2,
             'Resend with the same Idempotency-Key.',
         ),
-        ErrorKind.ends_upstreams: Answer(
+        ErrorKind.ends_upstreams: ErrorAnswer(
             HTTPStatus.BAD_REQUEST,
             Ran.no,
             None,
             'Upstreams end when they run it; change it, or ask an operator.',
         ),
-        ErrorKind.internal: Answer(
+        ErrorKind.internal: ErrorAnswer(
             HTTPStatus.INTERNAL_SERVER_ERROR,
             Ran.unknown,
             None,
@@ -199,9 +199,10 @@
 
     :param kind: kind of the error.
     :param message: what was wrong and what to do.
-    :param ran: overrides the kind's own statement where more is known.
-    :param retry_after: overrides the kind's own advice, in seconds.
-    :param retry_seconds: the same with fractions, for callers that take them.
+    :param ran: overrides the value of the kind.
+    :param retry_after: overrides the value of the kind, in seconds.
+    :param retry_seconds: the same with fractions, for callers that accept
+        them.
     """
 
     def __init__(
@@ -213,7 +214,7 @@
         retry_after: int | None = None,
         retry_seconds: float | None = None,
     ) -> None:
-        """Keep the kind and fill the gaps from the table."""
+        """Set what is not given to the values of the kind."""
         super().__init__(message)
         answer = ANSWERS[kind]
         self.kind = kind
