--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -44,8 +44,8 @@
     from wigeonpier.platform.port import Platform
 
 TOKEN_BYTES = 8
-CLAIM_PATIENCE_SECONDS = 5.0
-MOVE_GAP_SECONDS = 0.5
+CLAIM_TIMEOUT_SECONDS = 5.0
+MOVE_RETRY_SECONDS = 0.5
 
 
 ItemRecord = Begin | Release | Failure | Outcome
@@ -97,7 +97,7 @@
 class Chunk:
     """A chunk that this process owns.
 
-    :param workshop: what owners use.
+    :param context: what owners use.
     :param job: its job.
     :param index: position in the job.
     :param claim: the claim as written.
@@ -108,10 +108,10 @@
     :param ready: items to run, in order.
     :param suspects: items to run alone, after the others.
     :param is_lost: whether another process owns it now, or may.
-    :param moving: held while the journal goes on elsewhere.
+    :param move_lock: held while the journal goes on elsewhere.
     """
 
-    workshop: Workshop
+    context: Workshop
     job: Job
     index: int
     claim: Claim
@@ -122,7 +122,7 @@
     ready: deque[Item] = field(default_factory=deque)
     suspects: deque[Item] = field(default_factory=deque)
     is_lost: bool = False
-    moving: BoundedSemaphore = field(default_factory=BoundedSemaphore)
+    move_lock: BoundedSemaphore = field(default_factory=BoundedSemaphore)
 
     @property
     def name(self) -> str:
@@ -135,23 +135,23 @@
         """Tell whether each item has its result."""
         return all(ledger.outcome for ledger in self.ledgers)
 
-    def begin(self, item: Item, *, alone: bool) -> None:
+    def record_start(self, item: Item, *, alone: bool) -> None:
         """Note durably that an item may run; it may start only after this.
 
         :param item: the item.
         :param alone: whether nothing else of a job runs at the upstream.
         """
         ledger = self.ledgers[item.index]
-        where = f'{self.name} item {item.index}'
+        label = f'{self.name} item {item.index}'
         check_promise(
             item.is_idempotent or not (ledger.losses or ledger.is_open),
             Promise.runs_at_most_once,
-            f'{where} begins again',
+            f'{label} begins again',
         )
         check_promise(
             ledger.outcome is None,
             Promise.exactly_one_result,
-            f'{where} has a result already',
+            f'{label} has a result already',
         )
         self.write(Begin(item.index, alone))
 
@@ -206,7 +206,7 @@
         )
         return self.write_claim(done)
 
-    def give_back(self) -> None:
+    def release_claim(self) -> None:
         """Let another owner go on at once; what runs is stopped before."""
         released = msgspec.structs.replace(
             self.claim,
@@ -230,9 +230,9 @@
         if error.end is not JournalEnd.copy_lost:
             raise error
         lost = error.lost
-        with self.moving:
+        with self.move_lock:
             while self.journal is journal and not self.is_lost:
-                lost |= self._try_to_move(lost)
+                lost |= self._move_once(lost)
         if self.is_lost:
             raise JournalEndedError(JournalEnd.fenced, frozenset())
 
@@ -242,19 +242,19 @@
         :param claim: the new claim.
         :returns: its revision.
         """
-        wrote = write_claim(
-            self.workshop.platform,
+        written = write_claim(
+            self.context.platform,
             self.job.id,
             self.index,
             claim,
             self.revision,
         )
-        if isinstance(wrote, Ok):
+        if isinstance(written, Ok):
             self.claim = claim
-            self.revision = wrote.ok_value
-        return wrote
+            self.revision = written.ok_value
+        return written
 
-    def _try_to_move(self, lost: frozenset[str]) -> frozenset[str]:
+    def _move_once(self, lost: frozenset[str]) -> frozenset[str]:
         try:
             move_journal(self, lost)
         except JournalEndedError as error:
@@ -265,12 +265,12 @@
                 chunk=self.name,
                 problem=str(problem),
             )
-            gevent.sleep(MOVE_GAP_SECONDS)
+            gevent.sleep(MOVE_RETRY_SECONDS)
         return frozenset()
 
     def _plan_item(self, item: Item) -> Outcome | None:
         ledger = self.ledgers[item.index]
-        step = decide_item(ledger, item.is_idempotent, self.workshop.bounds)
+        step = decide_item(ledger, item.is_idempotent, self.context.bounds)
         match step:
             case Step.run:
                 self.ready.append(item)
@@ -313,7 +313,7 @@
         lambda entry: (
             msgspec.json.decode(entry.value, type=Claim).token == claim.token
         ),
-        CLAIM_PATIENCE_SECONDS,
+        CLAIM_TIMEOUT_SECONDS,
     )
 
 
@@ -324,22 +324,24 @@
     :param lost: copies that failed.
     :raises ChunkProblemError: when that is not possible now.
     """
-    workshop = chunk.workshop
+    context = chunk.context
     log_event(Event.copy_lost, chunk=chunk.name, copies=sorted(lost))
     fence = chunk.claim.fence + 1
-    copies = choose_folders(workshop, chunk.name, lost)
+    copies = choose_folders(context, chunk.name, lost)
     claim = msgspec.structs.replace(
         chunk.claim,
         token=draw_token(),
         fence=fence,
         segments=(*chunk.claim.segments, Segment(fence, copies)),
     )
-    wrote = chunk.write_claim(claim)
-    if isinstance(wrote, Err):
-        chunk.is_lost = wrote.err_value is PlatformFailure.conflict
-        raise ChunkProblemError(f'the claim was not written: {wrote.err_value}')
+    written = chunk.write_claim(claim)
+    if isinstance(written, Err):
+        chunk.is_lost = written.err_value is PlatformFailure.conflict
+        raise ChunkProblemError(
+            f'the claim was not written: {written.err_value}'
+        )
     journal = JournalWriter(
-        workshop.disks,
+        context.disks,
         (chunk.job.id, chunk.index, fence),
         copies,
     )
@@ -391,24 +393,24 @@
 
 
 def choose_folders(
-    workshop: Workshop,
+    context: Workshop,
     key: str,
     lost: frozenset[str],
 ) -> tuple[str, ...]:
     """Choose folders for a segment, ones that failed of late last.
 
-    :param workshop: what owners use.
+    :param context: what owners use.
     :param key: spreads the choice.
     :param lost: folders that failed just now.
     :returns: incarnations.
     :raises ChunkProblemError: when there are too few.
     """
-    disks = workshop.list_disks()
+    disks = context.list_disks()
     # Folders that failed just now may be well again: where there are no
     # others, a new segment on the same ones is as good.
-    for avoided in (lost | workshop.disks.list_failing(), lost, frozenset()):
-        chosen = choose_copies(disks, key, workshop.copies, avoided)
-        if len(chosen) >= workshop.least_copies:
+    for avoided in (lost | context.disks.list_failing(), lost, frozenset()):
+        chosen = choose_copies(disks, key, context.copies, avoided)
+        if len(chosen) >= context.least_copies:
             return tuple(disk.incarnation for disk in chosen)
     raise ChunkProblemError('too few data folders')
 
--- a/src/wigeonpier/batch/journal.py
+++ b/src/wigeonpier/batch/journal.py
@@ -20,12 +20,12 @@
     from wigeonpier.disk.client import DiskClient
     from wigeonpier.records import Record
 
-TOUCH_SECONDS = 1.0
-COPY_PATIENCE_SECONDS = 3.0
-RETRY_GAP_SECONDS = 0.1
+KEEPALIVE_SECONDS = 1.0
+COPY_TIMEOUT_SECONDS = 3.0
+RETRY_INTERVAL_SECONDS = 0.1
 
 
-_HOPELESS = frozenset((DiskFailure.other_folder, DiskFailure.broken))
+_PERMANENT_FAILURES = frozenset((DiskFailure.other_folder, DiskFailure.broken))
 
 
 class JournalEnd(StrEnum):
@@ -72,7 +72,7 @@
         self._waiter: AsyncResult[None] = AsyncResult()
         self._wake = Signal()
         self._ended: JournalEndedError | None = None
-        self.on_end = Signal()
+        self.ended_event = Signal()
         self._loop = gevent.spawn(self._run)
 
     @property
@@ -101,7 +101,7 @@
 
     def _run(self) -> None:
         while self._ended is None:
-            self._wake.wait(TOUCH_SECONDS)
+            self._wake.wait(KEEPALIVE_SECONDS)
             self._wake.clear()
             lines = b''.join(self._lines)
             waiter = self._waiter
@@ -125,10 +125,10 @@
     def _end(self, failure: JournalEndedError) -> None:
         self._ended = failure
         self._waiter.set_exception(failure)
-        self.on_end.set()
+        self.ended_event.set()
 
     def _write(self, lines: bytes) -> JournalEndedError | None:
-        give_up = time.monotonic() + COPY_PATIENCE_SECONDS
+        deadline = time.monotonic() + COPY_TIMEOUT_SECONDS
         while True:
             # Copies that have the lines already are written to again, which
             # adds nothing there but shows that the owner lives.
@@ -138,13 +138,13 @@
             missing = tuple(answers)
             if not missing:
                 return None
-            is_gone = not _HOPELESS.isdisjoint(answers.values())
-            if is_gone or time.monotonic() > give_up:
+            is_gone = not _PERMANENT_FAILURES.isdisjoint(answers.values())
+            if is_gone or time.monotonic() > deadline:
                 return JournalEndedError(
                     JournalEnd.copy_lost,
                     frozenset(missing),
                 )
-            gevent.sleep(RETRY_GAP_SECONDS)
+            gevent.sleep(RETRY_INTERVAL_SECONDS)
 
     def _write_once(self, lines: bytes) -> dict[str, DiskFailure]:
         workers = {
--- a/src/wigeonpier/batch/models.py
+++ b/src/wigeonpier/batch/models.py
@@ -9,8 +9,8 @@
 
 from wigeonpier.batch.claims import Segment, Tally
 
-LONGEST_ID = 512
-CustomId = Annotated[str, msgspec.Meta(min_length=1, max_length=LONGEST_ID)]
+MAX_ID_LENGTH = 512
+CustomId = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ID_LENGTH)]
 CHAT_PATH = '/v1/chat/completions'
 TEXT_PATH = '/v1/completions'
 
--- a/src/wigeonpier/batch/takeover.py
+++ b/src/wigeonpier/batch/takeover.py
@@ -31,7 +31,7 @@
 
 
 def claim_chunk(
-    workshop: Workshop,
+    context: Workshop,
     job: Job,
     index: int,
     previous: Claim | None,
@@ -39,7 +39,7 @@
 ) -> tuple[Claim, int]:
     """Become the owner of a chunk.
 
-    :param workshop: what owners use.
+    :param context: what owners use.
     :param job: its job.
     :param index: position in the job.
     :param previous: the claim that is replaced.
@@ -49,9 +49,9 @@
         few data folders.
     """
     fence = previous.fence + 1 if previous else 1
-    copies = choose_folders(workshop, f'{job.id}/{index}', frozenset())
+    copies = choose_folders(context, f'{job.id}/{index}', frozenset())
     claim = Claim(
-        owner=workshop.owner,
+        owner=context.owner,
         token=draw_token(),
         fence=fence,
         segments=(
@@ -59,16 +59,18 @@
             Segment(fence, copies),
         ),
     )
-    wrote = write_claim(workshop.platform, job.id, index, claim, revision)
-    if isinstance(wrote, Err):
-        raise ChunkProblemError(f'the claim was not written: {wrote.err_value}')
+    written = write_claim(context.platform, job.id, index, claim, revision)
+    if isinstance(written, Err):
+        raise ChunkProblemError(
+            f'the claim was not written: {written.err_value}'
+        )
     event = Event.chunk_taken_over if previous else Event.chunk_claimed
     log_event(event, job=job.id, chunk=index, fence=fence)
-    return claim, wrote.ok_value
+    return claim, written.ok_value
 
 
 def open_chunk(
-    workshop: Workshop,
+    context: Workshop,
     job: Job,
     index: int,
     claim: Claim,
@@ -76,7 +78,7 @@
 ) -> Chunk:
     """Read what is known of a claimed chunk and begin its own segment.
 
-    :param workshop: what owners use.
+    :param context: what owners use.
     :param job: its job.
     :param index: position in the job.
     :param claim: this process's claim.
@@ -85,16 +87,16 @@
     :raises ChunkProblemError: when something cannot be read now.
     :raises JournalEndedError: when a newer owner was faster.
     """
-    items = _read_items(workshop, job, index)
-    ledgers = _read_ledgers(workshop, job, index, claim, items)
+    items = _read_items(context, job, index)
+    ledgers = _read_ledgers(context, job, index, claim, items)
     segment = claim.segments[-1]
     journal = JournalWriter(
-        workshop.disks,
+        context.disks,
         (job.id, index, segment.fence),
         segment.copies,
     )
     chunk = Chunk(
-        workshop,
+        context,
         job,
         index,
         claim,
@@ -112,13 +114,13 @@
 
 
 def _read_items(
-    workshop: Workshop,
+    context: Workshop,
     job: Job,
     index: int,
 ) -> list[Item]:
     page = read_first(
         job.copies,
-        lambda copy: workshop.disks.read_page(copy, job.file, index),
+        lambda copy: context.disks.read_page(copy, job.file, index),
     )
     if page is None:
         raise ChunkProblemError('no copy of the input page answers')
@@ -134,7 +136,7 @@
 
 
 def _read_ledgers(
-    workshop: Workshop,
+    context: Workshop,
     job: Job,
     index: int,
     claim: Claim,
@@ -143,7 +145,7 @@
     ledgers = [Ledger() for _ in items]
     gone = 0
     for segment in reversed(claim.segments[:-1]):
-        journal = _read_segment(workshop, job, index, claim, segment, items)
+        journal = _read_segment(context, job, index, claim, segment, items)
         if journal is None:
             gone += 1
         elif journal.is_ready:
@@ -158,7 +160,7 @@
 
 
 def _read_segment(
-    workshop: Workshop,
+    context: Workshop,
     job: Job,
     index: int,
     claim: Claim,
@@ -172,11 +174,11 @@
     """
     contents: list[bytes] = []
     for incarnation in segment.copies:
-        fenced = workshop.disks.fence(incarnation, job.id, index, claim.fence)
+        fenced = context.disks.fence(incarnation, job.id, index, claim.fence)
         if isinstance(fenced, Err):
             continue
         name = (job.id, index, segment.fence)
-        read = workshop.disks.read_segment(incarnation, name)
+        read = context.disks.read_segment(incarnation, name)
         if isinstance(read, Ok):
             contents.append(read.ok_value)
         elif read.err_value is DiskFailure.absent:
@@ -186,6 +188,6 @@
             decode_records(max(contents, key=len)),
             len(items),
         )
-    if all(map(workshop.is_gone, segment.copies)):
+    if all(map(context.is_gone, segment.copies)):
         return None
     raise ChunkProblemError('no copy of an older segment answers')
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 
 from wigeonpier.batch.chunk import Workshop
+from wigeonpier.local.chunks import OwnedChunks
 from wigeonpier.local.engine import Engine
 from wigeonpier.local.gate import Gate
 from wigeonpier.local.online import OnlinePath, answer_online
-from wigeonpier.local.stock import Stock
 from wigeonpier.local.suspects import LocalSuspects
 from wigeonpier.local.upstream import UpstreamWatch
 from wigeonpier.local.work import Worker
@@ -86,12 +86,12 @@
         :returns: address for peers.
         """
         self.parts.address = self.server.address
-        self.parts.holder.listen(self._use)
+        self.parts.holder.listen(self._apply_deployment)
         self.watch.start()
         self.watch.on_change = self.reporter.hurry
-        self.worker.on_low = self.reporter.hurry
+        self.worker.on_queue_low = self.reporter.hurry
         self.worker.start()
-        self.reporter.on_reply = self._take_reply
+        self.reporter.on_reply = self._handle_reply
         self.reporter.start()
         self.server.start()
         return self.server.address
@@ -102,35 +102,35 @@
         :param seconds: longest wait.
         :returns: requests still in hand.
         """
-        give_up = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         self.parts.is_leaving = True
         self.gate.is_open = False
         self.reporter.beat()
-        kept = self.worker.leave(seconds)
-        left = self.server.drain(max(0, give_up - time.monotonic()))
-        return left + kept
+        unreleased = self.worker.leave(seconds)
+        left = self.server.drain(max(0, deadline - time.monotonic()))
+        return left + unreleased
 
-    def _use(self, deployment: Deployment) -> None:
+    def _apply_deployment(self, deployment: Deployment) -> None:
         service = deployment.services.get(_get_settings(self.parts).service)
         if service is not None:
             self.gate.target_seconds = service.between_tokens_ms / MILLISECONDS
             self.gate.kind = service.gate
             self.gate.batch_streams = service.batch_streams
         batch = deployment.batch
-        self.worker.stock.workshop = Workshop(
+        self.worker.stock.context = Workshop(
             platform=self.parts.platform,
-            disks=self.worker.stock.workshop.disks,
-            list_disks=self.worker.stock.workshop.list_disks,
-            is_gone=self.worker.stock.workshop.is_gone,
+            disks=self.worker.stock.context.disks,
+            list_disks=self.worker.stock.context.list_disks,
+            is_gone=self.worker.stock.context.is_gone,
             owner=self.parts.settings.name,
             copies=batch.copies,
             least_copies=batch.least_copies,
             bounds=Bounds(batch.attempts, batch.lone_losses),
         )
 
-    def _take_reply(self, reply: HeartbeatReply) -> None:
-        self.worker.stock.take_offers(reply.offers)
-        self.worker.stock.drop_jobs(reply.stopped)
+    def _handle_reply(self, reply: HeartbeatReply) -> None:
+        self.worker.stock.claim_offers(reply.offers)
+        self.worker.stock.stop_jobs(reply.stopped)
         self.parts.suspicions.merge(reply.suspicions)
 
 
@@ -157,7 +157,7 @@
         parts.holder,
         settings.entries,
         FAN_OUT,
-        lambda: _describe(parts, gate, watch, worker),
+        lambda: _make_heartbeat(parts, gate, watch, worker),
         parts.platform.list_vms,
     )
     worker = Worker(
@@ -170,7 +170,7 @@
             settings.service,
         ),
         watch,
-        Stock(_make_workshop(parts, reporter)),
+        OwnedChunks(_make_chunk_context(parts, reporter)),
         parts.metrics,
     )
     path = OnlinePath(
@@ -227,7 +227,7 @@
     return Server(host, port, chain_filters(filters, dispatch_to(routes)))
 
 
-def _make_workshop(parts: Parts, reporter: Reporter) -> Workshop:
+def _make_chunk_context(parts: Parts, reporter: Reporter) -> Workshop:
     def list_disks() -> list[Disk]:
         return [
             Disk(
@@ -254,7 +254,7 @@
     )
 
 
-def _describe(
+def _make_heartbeat(
     parts: Parts,
     gate: Gate,
     watch: UpstreamWatch,
@@ -274,11 +274,11 @@
             slots=gate.slots,
             online=gate.online + gate.waiting,
             batch=len(gate.batch),
-            is_well=watch.is_well,
+            is_well=watch.is_healthy,
         ),
         disk=parts.report_disk(),
         wants=worker.count_wanted(),
-        held=worker.stock.list_held(),
+        held=worker.stock.list_owned_jobs(),
         suspicions=parts.suspicions.summarize(),
     )
 
--- a/src/wigeonpier/local/stock.py
+++ b/src/wigeonpier/local/chunks.py
@@ -24,8 +24,8 @@
     from wigeonpier.membership.messages import Offer
     from wigeonpier.platform.port import Entry
 
-FINISH_GAP_SECONDS = 1.0
-LONGEST_FINISH_GAP_SECONDS = 10.0
+FINISH_RETRY_SECONDS = 1.0
+MAX_FINISH_RETRY_SECONDS = 10.0
 
 ChunkKey = tuple[str, int]
 
@@ -34,32 +34,32 @@
     """Do nothing before a worker listens."""
 
 
-def _ignore_news() -> None:
+def _ignore_ready() -> None:
     """Do nothing before a worker listens."""
 
 
 @dataclass(slots=True)
-class Stock:
+class OwnedChunks:
     """Owns chunks.
 
-    :param workshop: what owners of chunks use; made anew by configuration.
+    :param context: what owners of chunks use; made anew by configuration.
     :param chunks: chunks in work.
     :param claiming: chunks that are being claimed.
-    :param stopped: jobs that are known to be cancelled.
+    :param cancelled_jobs: jobs that are known to be cancelled.
     :param is_open: false once the process leaves.
-    :param on_new: called when a chunk is ready to run.
+    :param on_ready: called when a chunk is ready to run.
     :param on_drop: called with a chunk whose runs have to stop.
     """
 
-    workshop: Workshop
+    context: Workshop
     chunks: dict[ChunkKey, Chunk] = field(default_factory=dict)
     claiming: set[ChunkKey] = field(default_factory=set)
-    stopped: set[str] = field(default_factory=set)
+    cancelled_jobs: set[str] = field(default_factory=set)
     is_open: bool = True
-    on_new: Callable[[], None] = _ignore_news
+    on_ready: Callable[[], None] = _ignore_ready
     on_drop: Callable[[Chunk], None] = _ignore_chunk
 
-    def list_held(self) -> tuple[str, ...]:
+    def list_owned_jobs(self) -> tuple[str, ...]:
         """List jobs of whose chunks this process owns some.
 
         :returns: ids of jobs.
@@ -73,7 +73,7 @@
         """
         return sum(len(chunk.ready) for chunk in self.chunks.values())
 
-    def take_offers(self, offers: tuple[Offer, ...]) -> None:
+    def claim_offers(self, offers: tuple[Offer, ...]) -> None:
         """Claim offered chunks.
 
         :param offers: chunks from an entry.
@@ -84,20 +84,20 @@
                 self.claiming.add(key)
                 gevent.spawn(self._claim, offer)
 
-    def drop_jobs(self, jobs: tuple[str, ...]) -> None:
+    def stop_jobs(self, jobs: tuple[str, ...]) -> None:
         """Stop work on cancelled jobs at once.
 
         Their chunks are taken over by an entry, which writes the results.
 
         :param jobs: ids of jobs.
         """
-        self.stopped.update(jobs)
+        self.cancelled_jobs.update(jobs)
         for chunk in list(self.chunks.values()):
             if chunk.job.id in jobs:
-                self.let_go(chunk)
-                gevent.spawn(chunk.give_back)
+                self.drop(chunk)
+                gevent.spawn(chunk.release_claim)
 
-    def let_go(self, chunk: Chunk) -> None:
+    def drop(self, chunk: Chunk) -> None:
         """Own a chunk no more; nothing of it may run or be written.
 
         :param chunk: the chunk.
@@ -107,7 +107,7 @@
         self.on_drop(chunk)
         chunk.journal.close()
 
-    def hand_back(self, chunk: Chunk, problem: str) -> None:
+    def release_after_fault(self, chunk: Chunk, problem: str) -> None:
         """Give a chunk to another owner after a fault here.
 
         :param chunk: the chunk.
@@ -115,8 +115,8 @@
         """
         log_event(Event.chunk_failed, chunk=chunk.name, problem=problem)
         if self.owns(chunk):
-            self.let_go(chunk)
-            chunk.give_back()
+            self.drop(chunk)
+            chunk.release_claim()
 
     def owns(self, chunk: Chunk) -> bool:
         """Tell whether a chunk is in work here.
@@ -134,11 +134,11 @@
         if not self.owns(chunk) or not chunk.is_settled:
             return
         self.chunks.pop(_get_key(chunk))
-        pause = FINISH_GAP_SECONDS
-        while not _try_to_finish(chunk):
+        pause = FINISH_RETRY_SECONDS
+        while not _finish_once(chunk):
             # The journal goes on to show that the owner lives meanwhile.
             gevent.sleep(pause)
-            pause = min(LONGEST_FINISH_GAP_SECONDS, pause * 2)
+            pause = min(MAX_FINISH_RETRY_SECONDS, pause * 2)
         chunk.journal.close()
 
     def _claim(self, offer: Offer) -> None:
@@ -153,23 +153,23 @@
             )
         finally:
             self.claiming.discard((offer.job.id, offer.chunk))
-        self.on_new()
+        self.on_ready()
 
     def _claim_or_fail(self, offer: Offer) -> None:
         job = offer.job
         claim, revision = claim_chunk(
-            self.workshop,
+            self.context,
             job,
             offer.chunk,
             offer.claim,
             offer.revision,
         )
         self._check_job(job, offer.chunk, revision)
-        chunk = open_chunk(self.workshop, job, offer.chunk, claim, revision)
+        chunk = open_chunk(self.context, job, offer.chunk, claim, revision)
         self.chunks[_get_key(chunk)] = chunk
-        if job.id in self.stopped:
+        if job.id in self.cancelled_jobs:
             # Its job was cancelled while it was opened.
-            self.drop_jobs((job.id,))
+            self.stop_jobs((job.id,))
             return
         gevent.spawn(self._watch_journal, chunk)
         self.finish_if_settled(chunk)
@@ -180,7 +180,7 @@
         Cancelling lists the claims after it marks the job, so that one of
         the two sees the other.
         """
-        platform = self.workshop.platform
+        platform = self.context.platform
         seen = platform.get(name_job(job.customer, job.id))
         if isinstance(seen, Err):
             raise ChunkProblemError('the job cannot be read')
@@ -194,21 +194,21 @@
         """Let a chunk go as soon as a newer owner has it."""
         while not chunk.is_lost:
             journal = chunk.journal
-            journal.on_end.wait()
+            journal.ended_event.wait()
             ended = journal.ended
             if ended and ended.end is JournalEnd.fenced:
                 log_event(Event.chunk_lost, chunk=chunk.name)
-                self.let_go(chunk)
+                self.drop(chunk)
             if not self.owns(chunk):
                 return
-            gevent.sleep(FINISH_GAP_SECONDS)
+            gevent.sleep(FINISH_RETRY_SECONDS)
         if self.owns(chunk):
             # Another owner was faster while the journal went on elsewhere.
             log_event(Event.chunk_lost, chunk=chunk.name)
-            self.let_go(chunk)
+            self.drop(chunk)
 
 
-def _try_to_finish(chunk: Chunk) -> bool:
+def _finish_once(chunk: Chunk) -> bool:
     finished = chunk.finish()
     if isinstance(finished, Ok):
         log_event(Event.chunk_done, chunk=chunk.name)
--- a/src/wigeonpier/local/engine.py
+++ b/src/wigeonpier/local/engine.py
@@ -23,10 +23,10 @@
     from wigeonpier.telemetry.metrics import Metrics
     from wigeonpier.web.client import HttpCaller, StreamReply
 
-SILENCE_SECONDS = 60.0
-CANCEL_SECONDS = 2.0
-CANCEL_TRIES = 10
-CANCEL_GAP_SECONDS = 0.02
+READ_TIMEOUT_SECONDS = 60.0
+CANCEL_TIMEOUT_SECONDS = 2.0
+MAX_CANCEL_ATTEMPTS = 10
+CANCEL_INTERVAL_SECONDS = 0.02
 FIRST_ERROR_STATUS = 400
 NOT_FOUND = 404
 SERVER_ERROR = 500
@@ -79,14 +79,14 @@
 class Engine:
     """The upstream as batch work uses it.
 
-    :param caller: connections to it.
+    :param client: connections to it.
     :param address: ``host:port``.
     :param gate: learns from the gaps between tokens.
     :param metrics: numbers of this process.
     :param service: service that the upstream is a replica of.
     """
 
-    caller: HttpCaller
+    client: HttpCaller
     address: str
     gate: Gate
     metrics: Metrics
@@ -124,18 +124,18 @@
 
     def _cancel(self, run: Run) -> None:
         # A cancel may overtake the request that it is for.
-        for _ in range(CANCEL_TRIES):
-            called = self.caller.call(
+        for _ in range(MAX_CANCEL_ATTEMPTS):
+            called = self.client.call(
                 self.address,
                 'POST',
                 f'/v1/streams/{run.identity}/cancel',
-                patience=CANCEL_SECONDS,
+                patience=CANCEL_TIMEOUT_SECONDS,
             )
             if isinstance(called, Err) or not run.is_paused:
                 return
             if called.ok_value.decode(_Cancelled).cancelled:
                 return
-            gevent.sleep(CANCEL_GAP_SECONDS)
+            gevent.sleep(CANCEL_INTERVAL_SECONDS)
 
     def _open(self, run: Run) -> Result[StreamReply, CallFailure]:
         if run.is_paused:
@@ -153,14 +153,14 @@
         return self._post(run.path, body, run.identity)
 
     def _resume(self, run: Run) -> Result[StreamReply, CallFailure] | None:
-        asked = {
+        resume_request = {
             'delivered': len(run.assembler.parts),
             # Nothing may have come yet that would name the kind of object.
             'object': CHAT if run.path == CHAT_PATH else TEXT,
         }
         opened = self._post(
             f'/v1/streams/{run.identity}/resume',
-            msgspec.json.encode(asked),
+            msgspec.json.encode(resume_request),
             run.identity,
         )
         if isinstance(opened, Err):
@@ -171,7 +171,7 @@
             return None
         return opened
 
-    def _note_token(self, run: Run, last: float) -> None:
+    def _observe_token(self, run: Run, last: float) -> None:
         if not last and len(run.assembler.parts) > 1:
             # The first token after a pause follows none.
             return
@@ -188,7 +188,7 @@
         body: bytes,
         identity: str,
     ) -> Result[StreamReply, CallFailure]:
-        return self.caller.open(
+        return self.client.open(
             self.address,
             'POST',
             path,
@@ -197,19 +197,19 @@
                 'content-type': JSON_TYPE,
                 headers.REQUEST_ID: identity,
             },
-            patience=SILENCE_SECONDS,
+            patience=READ_TIMEOUT_SECONDS,
         )
 
     def _read(self, run: Run, reply: StreamReply) -> RunEnd:
         run.code = reply.status
         content_type = reply.get_header('content-type')
         if not content_type.startswith(EVENT_STREAM_TYPE):
-            return _read_whole(run, reply)
+            return _read_response(run, reply)
         with self.gate.watch_tokens() as watch:
             for line in reply.iterate_lines():
                 if run.assembler.feed(line):
-                    self._note_token(run, watch.last)
-                    watch.note_token()
+                    self._observe_token(run, watch.last)
+                    watch.record_token()
         if not run.assembler.is_whole:
             return RunEnd.stopped if run.is_paused else RunEnd.lost
         run.answer = msgspec.json.encode(run.assembler.make_body())
@@ -233,7 +233,7 @@
     return msgspec.json.encode(body)
 
 
-def _read_whole(run: Run, reply: StreamReply) -> RunEnd:
+def _read_response(run: Run, reply: StreamReply) -> RunEnd:
     run.answer = reply.read()
     if reply.status == TOO_MANY:
         return RunEnd.not_run
--- a/src/wigeonpier/local/gate.py
+++ b/src/wigeonpier/local/gate.py
@@ -61,7 +61,7 @@
     online: int = 0
     batch: set[BatchStream] = field(default_factory=set)
     model: policy.StepModel = field(default_factory=policy.make_model)
-    on_room: Signal = field(default_factory=Signal)
+    room_event: Signal = field(default_factory=Signal)
     producing: int = 0
     _waiting: deque[Signal] = field(default_factory=deque)
 
@@ -82,7 +82,7 @@
         """Count online requests that wait here."""
         return len(self._waiting)
 
-    def see(self) -> policy.Occupancy:
+    def get_occupancy(self) -> policy.Occupancy:
         """Describe what runs and waits.
 
         :returns: counts for the policy.
@@ -102,9 +102,9 @@
         :yields: while the slot is held.
         :raises Refusal: when it cannot start in time; it did not run.
         """
-        self._make_way(1)
+        self._preempt_batch(1)
         if self._waiting or not policy.may_admit_online(
-            self.see(),
+            self.get_occupancy(),
             self.slots,
         ):
             self._wait_for_slot(deadline)
@@ -113,7 +113,7 @@
             yield
         finally:
             self.online -= 1
-            self._let_next()
+            self._admit_next()
 
     def add_batch(self, stream: BatchStream) -> None:
         """Count a batch stream that :meth:`may_start_batch` let in.
@@ -135,7 +135,7 @@
         """
         if stream in self.batch:
             self.batch.remove(stream)
-            self._let_next()
+            self._admit_next()
 
     def may_start_batch(self, *, is_one_run: bool = False) -> bool:
         """Tell whether one more batch stream may start now.
@@ -148,7 +148,7 @@
         if self.kind is not GateKind.learned:
             return len(self.batch) < self.batch_streams
         return policy.may_admit_batch(
-            self.see(),
+            self.get_occupancy(),
             self.slots,
             is_one_run=is_one_run,
         )
@@ -160,48 +160,48 @@
         """
         return TokenWatch(self)
 
-    def _make_way(self, arriving: int) -> None:
-        seen = self.see()
+    def _preempt_batch(self, arriving: int) -> None:
+        occupancy = self.get_occupancy()
         count = policy.count_to_preempt(
             policy.Occupancy(
-                seen.online,
-                seen.online_waiting + arriving,
-                seen.batch,
-                seen.one_run,
+                occupancy.online,
+                occupancy.online_waiting + arriving,
+                occupancy.batch,
+                occupancy.one_run,
             ),
             self.slots,
         )
         if not count:
             return
-        free = [
+        preemptible = [
             stream
             for stream in self.batch
             if not stream.is_one_run and not stream.is_stopped
         ]
-        free.sort(key=lambda stream: stream.slack, reverse=True)
-        for stream in free[:count]:
+        preemptible.sort(key=lambda stream: stream.slack, reverse=True)
+        for stream in preemptible[:count]:
             stream.is_stopped = True
             stream.stop()
-        log_event(Event.batch_preempted, streams=len(free[:count]))
+        log_event(Event.batch_preempted, streams=len(preemptible[:count]))
 
     def _wait_for_slot(self, deadline: float) -> None:
-        turn = Signal()
-        self._waiting.append(turn)
-        if turn.wait(max(0, deadline - time.monotonic())):
+        admitted = Signal()
+        self._waiting.append(admitted)
+        if admitted.wait(max(0, deadline - time.monotonic())):
             return
-        self._waiting.remove(turn)
+        self._waiting.remove(admitted)
         raise Refusal(
             ErrorKind.deadline_passed,
             'no slot became free before the deadline',
         )
 
-    def _let_next(self) -> None:
-        promised = 0
-        while self._waiting and self.online + promised < self.slots:
+    def _admit_next(self) -> None:
+        woken = 0
+        while self._waiting and self.online + woken < self.slots:
             self._waiting.popleft().set()
-            promised += 1
+            woken += 1
         if not self._waiting:
-            self.on_room.set()
+            self.room_event.set()
 
 
 @dataclass(slots=True)
@@ -230,7 +230,7 @@
         if self.last:
             self.gate.producing -= 1
 
-    def note_token(self) -> None:
+    def record_token(self) -> None:
         """Take in that a token came."""
         now = time.monotonic()
         gate = self.gate
--- a/src/wigeonpier/local/online.py
+++ b/src/wigeonpier/local/online.py
@@ -28,7 +28,7 @@
 DEFAULT_DEADLINE_MS = 120_000
 MILLISECONDS = 1000
 SERVER_ERROR = 500
-PASSED_HEADERS = ('content-type', 'accept', 'traceparent')
+FORWARDED_HEADERS = ('content-type', 'accept', 'traceparent')
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     """What the online path of a local process is made of.
 
     :param gate: decides when a request starts.
-    :param caller: connections to the upstream.
+    :param client: connections to the upstream.
     :param upstream: ``host:port`` of the upstream.
     :param metrics: numbers of this process.
     :param service: service that the upstream is a replica of.
@@ -44,7 +44,7 @@
     """
 
     gate: Gate
-    caller: HttpCaller
+    client: HttpCaller
     upstream: str
     metrics: Metrics
     service: str
@@ -64,21 +64,21 @@
         raise Refusal(ErrorKind.leaving, 'this upstream is leaving')
     body = request.read_body()
     arrived = time.monotonic()
-    patience_ms = request.headers.get(headers.DEADLINE_MS, DEFAULT_DEADLINE_MS)
-    deadline = arrived + int(patience_ms) / MILLISECONDS
-    with ExitStack() as held:
-        held.enter_context(path.gate.hold_online(deadline))
+    timeout_ms = request.headers.get(headers.DEADLINE_MS, DEFAULT_DEADLINE_MS)
+    deadline = arrived + int(timeout_ms) / MILLISECONDS
+    with ExitStack() as resources:
+        resources.enter_context(path.gate.hold_online(deadline))
         path.metrics.observe(
             'queueing',
             time.monotonic() - arrived,
             service=path.service,
             work='online',
         )
-        run = path.suspects.begin(request, body)
-        held.callback(run.close)
+        run = path.suspects.start_run(request, body)
+        resources.callback(run.close)
         reply = _open_upstream(path, run, target, deadline)
-        held.callback(reply.close)
-        return _make_response(path, reply, run, held)
+        resources.callback(reply.close)
+        return _make_response(path, reply, run, resources)
 
 
 def _open_upstream(
@@ -88,26 +88,26 @@
     deadline: float,
 ) -> StreamReply:
     request = run.request
-    passed = {
+    forwarded = {
         name: request.headers[name]
-        for name in PASSED_HEADERS
+        for name in FORWARDED_HEADERS
         if name in request.headers
     }
-    passed[headers.REQUEST_ID] = request.identity
+    forwarded[headers.REQUEST_ID] = request.identity
     if request.span:
-        passed['traceparent'] = request.span.traceparent
-    opened = path.caller.open(
+        forwarded['traceparent'] = request.span.traceparent
+    opened = path.client.open(
         path.upstream,
         request.method,
         target,
         run.body,
-        headers=passed,
+        headers=forwarded,
         patience=round_patience(deadline - time.monotonic()),
     )
     if isinstance(opened, Err):
         if opened.err_value is CallFailure.not_sent:
             raise Refusal(ErrorKind.no_upstream, 'the upstream is down')
-        run.note_loss()
+        run.record_loss()
         raise Refusal(ErrorKind.upstream_lost, 'the upstream was lost')
     return opened.ok_value
 
@@ -116,7 +116,7 @@
     path: OnlinePath,
     reply: StreamReply,
     run: SuspectRun,
-    held: ExitStack,
+    resources: ExitStack,
 ) -> Response:
     content_type = reply.get_header('content-type')
     if content_type.startswith(EVENT_STREAM_TYPE):
@@ -125,16 +125,16 @@
             _relay(path, reply, run),
             content_type,
             # The slot is held until the stream is sent or given up.
-            on_close=[held.pop_all().close],
+            on_close=[resources.pop_all().close],
         )
     try:
         body = reply.read()
     except (OSError, HTTPParseError) as error:
-        run.note_loss()
+        run.record_loss()
         raise Refusal(ErrorKind.upstream_lost, 'the answer broke off') from (
             error
         )
-    run.note_whole()
+    run.record_completion()
     if reply.status >= SERVER_ERROR:
         raise Refusal(
             ErrorKind.upstream_failed,
@@ -155,11 +155,11 @@
             try:
                 line = next(lines, b'')
             except (OSError, HTTPParseError):
-                run.note_loss()
+                run.record_loss()
                 raise
             if not line:
-                run.note_whole()
+                run.record_completion()
                 return
             if is_text_line(line):
-                watch.note_token()
+                watch.record_token()
             yield line
--- a/src/wigeonpier/local/suspects.py
+++ b/src/wigeonpier/local/suspects.py
@@ -26,7 +26,7 @@
 NO_VERSION = frozenset(('',))
 # Requests that end together are lost within some ms; no upstream ends twice
 # within it, since it takes longer to start.
-SAME_END_SECONDS = 1.0
+SAME_CRASH_SECONDS = 1.0
 
 
 @dataclass(slots=True)
@@ -36,20 +36,20 @@
     :param name: of this start of the process, for the upstream's starts.
     :param upstream: ``host:port`` of the upstream.
     :param suspicions: what is known of suspected requests.
-    :param ends: finds out whether the upstream has ended.
-    :param on_end: called when it has, to tell others soon.
+    :param crash_detector: finds out whether the upstream has ended.
+    :param on_crash: called when it has, to tell others soon.
     """
 
     name: str
     upstream: str
     suspicions: Suspicions
-    ends: EndFinder
-    on_end: Callable[[], None]
+    crash_detector: EndFinder
+    on_crash: Callable[[], None]
     trials: TrialTable = field(default_factory=TrialTable)
     _starts: int = 0
-    _ended_at: float = 0
+    _crashed_at: float = 0
 
-    def begin(self, request: Request, body: bytes) -> SuspectRun:
+    def start_run(self, request: Request, body: bytes) -> SuspectRun:
         """Begin a run at the upstream.
 
         :param request: the request of an entry.
@@ -59,31 +59,31 @@
         """
         return SuspectRun(self, request, body, self._admit(request, body))
 
-    def note_loss(self, fingerprint: str, company: Company | None) -> None:
+    def record_loss(self, fingerprint: str, isolation: Company | None) -> None:
         """Hold the end of the upstream, if it has ended, against a request.
 
         :param fingerprint: what was lost.
-        :param company: what it bore beside it, ``None`` for anybody.
+        :param isolation: what it bore beside it, ``None`` for anybody.
         """
         start = f'{self.name}-{self._starts}'
-        if not self.ends.has_ended(start, self.upstream):
+        if not self.crash_detector.has_ended(start, self.upstream):
             return
         now = time.monotonic()
-        if now - self._ended_at > SAME_END_SECONDS:
+        if now - self._crashed_at > SAME_CRASH_SECONDS:
             self._starts += 1
-            self._ended_at = now
+            self._crashed_at = now
         self.suspicions.note_end(
             fingerprint,
             f'{self.name}-{self._starts}',
             '',
-            was_alone=company is Company.nobody,
+            was_alone=isolation is Company.nobody,
         )
-        self.on_end()
+        self.on_crash()
 
     def _admit(self, request: Request, body: bytes) -> Company | None:
         if self.suspicions.is_empty:
             return None
-        fingerprint = _name(request, body)
+        fingerprint = _get_fingerprint(request, body)
         standing = self.suspicions.judge(fingerprint, NO_VERSION)
         if standing is Standing.free:
             return None
@@ -92,19 +92,19 @@
                 ErrorKind.ends_upstreams,
                 'upstreams end when they run it',
             )
-        return self._enter(fingerprint, standing)
+        return self._add_trial(fingerprint, standing)
 
-    def _enter(self, fingerprint: str, standing: Standing) -> Company:
-        is_lone = standing is Standing.alone
-        company = Company.nobody if is_lone else Company.latecomers
+    def _add_trial(self, fingerprint: str, standing: Standing) -> Company:
+        is_alone = standing is Standing.alone
+        isolation = Company.nobody if is_alone else Company.latecomers
         now = time.monotonic()
-        if self.trials.ask(fingerprint, company, now) is not Verdict.granted:
+        if self.trials.ask(fingerprint, isolation, now) is not Verdict.granted:
             raise Refusal(
                 ErrorKind.overloaded,
                 'another suspected request runs here',
             )
-        self.trials.enter(fingerprint, company, now)
-        return company
+        self.trials.enter(fingerprint, isolation, now)
+        return isolation
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,36 +114,40 @@
     :param suspects: learns from it.
     :param request: the request.
     :param body: its body.
-    :param company: what it bears beside it, ``None`` where it is not
+    :param isolation: what it bears beside it, ``None`` where it is not
         suspected.
     """
 
     suspects: LocalSuspects
     request: Request
     body: bytes
-    company: Company | None
+    isolation: Company | None
 
-    def note_loss(self) -> None:
+    def record_loss(self) -> None:
         """Learn that it was lost; the upstream may have ended with it."""
-        self.suspects.note_loss(_name(self.request, self.body), self.company)
+        self.suspects.record_loss(
+            _get_fingerprint(self.request, self.body), self.isolation
+        )
 
-    def note_whole(self) -> None:
+    def record_completion(self) -> None:
         """Learn that it came to its end."""
         if not self.suspects.suspicions.is_empty:
-            name = _name(self.request, self.body)
+            name = _get_fingerprint(self.request, self.body)
             self.suspects.suspicions.clear(name)
 
     def close(self) -> None:
         """Give up its place among the suspected."""
-        if self.company is not None:
-            self.suspects.trials.leave(_name(self.request, self.body))
+        if self.isolation is not None:
+            self.suspects.trials.leave(
+                _get_fingerprint(self.request, self.body)
+            )
 
 
-def _name(request: Request, body: bytes) -> str:
+def _get_fingerprint(request: Request, body: bytes) -> str:
     """Name a request by its content; the entry does so where it goes on."""
-    told = request.headers.get(headers.FINGERPRINT)
-    if told:
-        return told
+    sent = request.headers.get(headers.FINGERPRINT)
+    if sent:
+        return sent
     caller = request.headers.get(headers.CUSTOMER, '')
     target = request.path
     if request.query:
--- a/src/wigeonpier/local/upstream.py
+++ b/src/wigeonpier/local/upstream.py
@@ -17,8 +17,8 @@
 
     from wigeonpier.web.client import HttpCaller
 
-PERIOD_SECONDS = 0.5
-PATIENCE_SECONDS = 1.0
+PROBE_INTERVAL_SECONDS = 0.5
+PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class _ModelEntry(msgspec.Struct):
@@ -37,19 +37,19 @@
 class UpstreamWatch:
     """What is known of the upstream.
 
-    :param caller: connections to it.
+    :param client: connections to it.
     :param address: ``host:port``.
     :param find_kind: gives the kind of its service.
-    :param is_well: whether it answered last.
+    :param is_healthy: whether it answered last.
     :param models: models that it serves.
     :param on_change: called when it falls ill, is well again, or serves
         other models.
     """
 
-    caller: HttpCaller
+    client: HttpCaller
     address: str
     find_kind: Callable[[], ServiceKind]
-    is_well: bool = False
+    is_healthy: bool = False
     models: tuple[str, ...] = ()
     on_change: Callable[[], None] = _ignore_change
 
@@ -62,33 +62,33 @@
 
         :returns: whether it answers.
         """
-        before = (self.is_well, self.models)
-        self.is_well = self._ask_health() and self._ask_models()
-        if (self.is_well, self.models) != before:
+        before = (self.is_healthy, self.models)
+        self.is_healthy = self._probe_health() and self._fetch_models()
+        if (self.is_healthy, self.models) != before:
             self.on_change()
-        return self.is_well
+        return self.is_healthy
 
     def _run(self) -> None:
         self.check()
-        gevent.sleep(PERIOD_SECONDS)
+        gevent.sleep(PROBE_INTERVAL_SECONDS)
 
-    def _ask_health(self) -> bool:
-        called = self.caller.call(
+    def _probe_health(self) -> bool:
+        called = self.client.call(
             self.address,
             'GET',
             '/healthz',
-            patience=PATIENCE_SECONDS,
+            patience=PROBE_TIMEOUT_SECONDS,
         )
         return not isinstance(called, Err) and called.ok_value.is_good
 
-    def _ask_models(self) -> bool:
+    def _fetch_models(self) -> bool:
         if self.find_kind() is ServiceKind.plain:
             return True
-        called = self.caller.call(
+        called = self.client.call(
             self.address,
             'GET',
             '/v1/models',
-            patience=PATIENCE_SECONDS,
+            patience=PROBE_TIMEOUT_SECONDS,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             return False
--- a/src/wigeonpier/local/work.py
+++ b/src/wigeonpier/local/work.py
@@ -29,33 +29,33 @@
     from collections.abc import Callable
 
     from wigeonpier.batch.chunk import Chunk, Item
-    from wigeonpier.local.stock import Stock
+    from wigeonpier.local.chunks import OwnedChunks
     from wigeonpier.local.upstream import UpstreamWatch
     from wigeonpier.telemetry.metrics import Metrics
 
-STOCK_SECONDS = 2.0
-LEAST_STOCK = 4
-PUMP_SECONDS = 0.25
-HAND_OVER_STEP_SECONDS = 0.02
-RATE_MEMORY = 0.9
+QUEUE_AHEAD_SECONDS = 2.0
+MIN_QUEUED_ITEMS = 4
+START_INTERVAL_SECONDS = 0.25
+HAND_OVER_POLL_SECONDS = 0.02
+RATE_SMOOTHING = 0.9
 FIRST_ERROR_STATUS = 400
 SERVICES = '/services/'
 
 
 @dataclass(slots=True, eq=False)
-class Turn:
+class ActiveItem:
     """An item that runs, or is paused and waits for a slot.
 
     :param chunk: its chunk.
     :param item: the item.
     :param stream: its place at the gate.
-    :param go: set when it holds a slot again, or has to give up.
+    :param resumed: set when it holds a slot again, or has to give up.
     """
 
     chunk: Chunk
     item: Item
     stream: BatchStream
-    go: Signal = field(default_factory=Signal)
+    resumed: Signal = field(default_factory=Signal)
 
     def stop(self) -> None:
         """Make the run end, with its state kept for a while."""
@@ -64,7 +64,7 @@
             self.stream.stop()
 
 
-def _ignore_low() -> None:
+def _ignore_queue_low() -> None:
     """Do nothing before a reporter listens."""
 
 
@@ -77,25 +77,25 @@
     :param watch: tells whether the upstream is well.
     :param stock: chunks that this process owns.
     :param metrics: numbers of this process.
-    :param on_low: called when work at hand runs out.
+    :param on_queue_low: called when work at hand runs out.
     """
 
     gate: Gate
     engine: Engine
     watch: UpstreamWatch
-    stock: Stock
+    stock: OwnedChunks
     metrics: Metrics
-    on_low: Callable[[], None] = _ignore_low
-    _paused: deque[Turn] = field(default_factory=deque)
-    _running: set[Turn] = field(default_factory=set)
-    _rate: float = 0
-    _done_since: int = 0
+    on_queue_low: Callable[[], None] = _ignore_queue_low
+    _paused: deque[ActiveItem] = field(default_factory=deque)
+    _running: set[ActiveItem] = field(default_factory=set)
+    _items_per_second: float = 0
+    _completed_items: int = 0
 
     def start(self) -> None:
         """Begin to run items."""
-        self.stock.on_new = self.gate.on_room.set
+        self.stock.on_ready = self.gate.room_event.set
         self.stock.on_drop = self._stop_chunk
-        spawn_loop('pump', self._pump)
+        spawn_loop('pump', self._start_items)
         spawn_loop('rate', self._measure_rate)
 
     def count_wanted(self) -> int:
@@ -106,10 +106,14 @@
         """
         if not self.stock.is_open or self.stock.claiming:
             return 0
-        if not self.watch.is_well or not self.gate.may_start_batch():
+        if not self.watch.is_healthy or not self.gate.may_start_batch():
             return 0
         room = self.gate.slots - self.gate.running
-        wanted = max(LEAST_STOCK, int(self._rate * STOCK_SECONDS), room)
+        wanted = max(
+            MIN_QUEUED_ITEMS,
+            int(self._items_per_second * QUEUE_AHEAD_SECONDS),
+            room,
+        )
         return max(0, wanted - self.stock.count_ready())
 
     def leave(self, seconds: float) -> int:
@@ -129,47 +133,51 @@
     def _hand_over(self, chunk: Chunk) -> None:
         chunk.ready.clear()
         chunk.suspects.clear()
-        self._stop_chunk(chunk, spare_one_run=True)
-        while any(turn.chunk is chunk for turn in self._running):
-            gevent.sleep(HAND_OVER_STEP_SECONDS)
+        self._stop_chunk(chunk, spare_run_once=True)
+        while any(active.chunk is chunk for active in self._running):
+            gevent.sleep(HAND_OVER_POLL_SECONDS)
         if self.stock.owns(chunk):
-            self.stock.let_go(chunk)
-            chunk.give_back()
-
-    def _stop_chunk(self, chunk: Chunk, *, spare_one_run: bool = False) -> None:
-        turns = [turn for turn in self._running if turn.chunk is chunk]
-        for turn in turns:
-            if turn in self._paused:
-                self._paused.remove(turn)
-                turn.go.set()
-            elif not (spare_one_run and turn.stream.is_one_run):
-                turn.stop()
-
-    def _pump(self) -> None:
-        while self.watch.is_well and self._start_one():
+            self.stock.drop(chunk)
+            chunk.release_claim()
+
+    def _stop_chunk(
+        self, chunk: Chunk, *, spare_run_once: bool = False
+    ) -> None:
+        active_items = [
+            active for active in self._running if active.chunk is chunk
+        ]
+        for active in active_items:
+            if active in self._paused:
+                self._paused.remove(active)
+                active.resumed.set()
+            elif not (spare_run_once and active.stream.is_one_run):
+                active.stop()
+
+    def _start_items(self) -> None:
+        while self.watch.is_healthy and self._start_one():
             gevent.sleep(0)
-        self.gate.on_room.clear()
-        self.gate.on_room.wait(PUMP_SECONDS)
+        self.gate.room_event.clear()
+        self.gate.room_event.wait(START_INTERVAL_SECONDS)
 
     def _start_one(self) -> bool:
         if not self.gate.may_start_batch():
             return False
         if self._paused:
-            turn = self._paused.popleft()
-            self.gate.add_batch(turn.stream)
-            turn.go.set()
+            active = self._paused.popleft()
+            self.gate.add_batch(active.stream)
+            active.resumed.set()
             return True
         chunks = sorted(self.stock.chunks.values(), key=_rank_chunk)
-        return any(self._start_from(chunk) for chunk in chunks)
+        return any(self._start_from_chunk(chunk) for chunk in chunks)
 
-    def _start_from(self, chunk: Chunk) -> bool:
+    def _start_from_chunk(self, chunk: Chunk) -> bool:
         if chunk.ready:
-            is_one_run = _is_one_run(chunk, chunk.ready[0])
+            is_one_run = _is_run_once(chunk, chunk.ready[0])
             if not self.gate.may_start_batch(is_one_run=is_one_run):
                 return False
             self._spawn(chunk, chunk.ready.popleft(), alone=False)
             if not chunk.ready:
-                self.on_low()
+                self.on_queue_low()
             return True
         if chunk.suspects and not self.gate.batch and not self._paused:
             self._spawn(chunk, chunk.suspects.popleft(), alone=True)
@@ -179,82 +187,82 @@
     def _spawn(self, chunk: Chunk, item: Item, *, alone: bool) -> None:
         stream = BatchStream(
             slack=chunk.job.deadline - time.time(),
-            is_one_run=_is_one_run(chunk, item),
+            is_one_run=_is_run_once(chunk, item),
         )
-        turn = Turn(chunk, item, stream)
-        self._running.add(turn)
+        active = ActiveItem(chunk, item, stream)
+        self._running.add(active)
         self.gate.add_batch(stream)
-        gevent.spawn(self._run, turn, alone)
+        gevent.spawn(self._run, active, alone)
 
-    def _run(self, turn: Turn, alone: bool) -> None:
+    def _run(self, active: ActiveItem, alone: bool) -> None:
         try:
-            self._run_or_lose(turn, alone)
+            self._run_item(active, alone)
         except JournalEndedError:
             # A newer owner goes on; nothing more may be done here.
-            turn.chunk.is_lost = True
+            active.chunk.is_lost = True
         except BrokenPromiseError:
             raise
         except Exception:
             # The item would be waited for in vain; another owner goes on.
-            self.stock.hand_back(turn.chunk, traceback.format_exc())
+            self.stock.release_after_fault(active.chunk, traceback.format_exc())
         finally:
-            self.gate.remove_batch(turn.stream)
-            self._running.discard(turn)
-        if not turn.chunk.is_lost:
-            self.stock.finish_if_settled(turn.chunk)
+            self.gate.remove_batch(active.stream)
+            self._running.discard(active)
+        if not active.chunk.is_lost:
+            self.stock.finish_if_settled(active.chunk)
 
-    def _run_or_lose(self, turn: Turn, alone: bool) -> None:
-        chunk = turn.chunk
+    def _run_item(self, active: ActiveItem, alone: bool) -> None:
+        chunk = active.chunk
         if chunk.is_lost:
             # Its job ended after the turn was given and before it was taken.
             return
         check_promise(
-            chunk.job.id not in self.stock.stopped,
+            chunk.job.id not in self.stock.cancelled_jobs,
             Promise.cancelled_job_stops,
             f'{chunk.name} starts an item',
         )
         started = time.monotonic()
-        chunk.begin(turn.item, alone=alone)
+        chunk.record_start(active.item, alone=alone)
         self.metrics.observe(
             'added_latency',
             time.monotonic() - started,
             service=chunk.job.service,
             work='batch',
         )
-        run = _make_run(turn)
+        run = _make_run(active)
         if run.is_stream:
-            turn.stream.stop = lambda: self.engine.stop(run)
-        end = self._advance(turn, run)
+            active.stream.stop = lambda: self.engine.stop(run)
+        end = self._advance(active, run)
         if not chunk.is_lost:
             self.metrics.count('batch_runs_total', end=end.value)
-            self._note_end(chunk, turn.item, end, run)
+            self._record_end(chunk, active.item, end, run)
 
-    def _advance(self, turn: Turn, run: Run) -> RunEnd:
+    def _advance(self, active: ActiveItem, run: Run) -> RunEnd:
         """Run an item to its end, with pauses while online work comes."""
         while True:
             end = RunEnd.stopped
-            if not turn.stream.is_stopped:
+            if not active.stream.is_stopped:
                 end = self.engine.advance(run)
-            if end is not RunEnd.stopped or self._is_over(turn):
+            if end is not RunEnd.stopped or self._is_abandoned(active):
                 return end
-            self.gate.remove_batch(turn.stream)
-            turn.go.clear()
+            self.gate.remove_batch(active.stream)
+            active.resumed.clear()
             paused = time.monotonic()
-            self._paused.append(turn)
-            turn.go.wait()
+            self._paused.append(active)
+            active.resumed.wait()
             self.metrics.observe(
                 'queueing',
                 time.monotonic() - paused,
-                service=turn.chunk.job.service,
+                service=active.chunk.job.service,
                 work='batch',
             )
-            if self._is_over(turn):
+            if self._is_abandoned(active):
                 return RunEnd.stopped
 
-    def _is_over(self, turn: Turn) -> bool:
-        return turn.chunk.is_lost or not self.stock.is_open
+    def _is_abandoned(self, active: ActiveItem) -> bool:
+        return active.chunk.is_lost or not self.stock.is_open
 
-    def _note_end(
+    def _record_end(
         self,
         chunk: Chunk,
         item: Item,
@@ -264,20 +272,20 @@
         match end:
             case RunEnd.answered:
                 chunk.write(_make_outcome(item, run))
-                self._done_since += 1
+                self._completed_items += 1
                 return
             case RunEnd.not_run | RunEnd.stopped:
                 chunk.write(Release(item.index))
             case RunEnd.failed:
-                chunk.write(self._judge_failure(item, run))
+                chunk.write(self._make_failure_record(item, run))
             case RunEnd.lost:
                 note_loss(chunk.ledgers[item.index])
         if end in {RunEnd.lost, RunEnd.not_run}:
-            self.watch.is_well = False
+            self.watch.is_healthy = False
         if self.stock.is_open:
             chunk.plan(item)
 
-    def _judge_failure(self, item: Item, run: Run) -> Failure | Release:
+    def _make_failure_record(self, item: Item, run: Run) -> Failure | Release:
         if item.is_idempotent and not self.watch.check():
             # The upstream is in trouble of its own; the item is not blamed.
             return Release(item.index)
@@ -285,16 +293,18 @@
 
     def _measure_rate(self) -> None:
         gevent.sleep(1)
-        newest = (1 - RATE_MEMORY) * self._done_since
-        self._rate = RATE_MEMORY * self._rate + newest
-        self._done_since = 0
+        newest = (1 - RATE_SMOOTHING) * self._completed_items
+        self._items_per_second = (
+            RATE_SMOOTHING * self._items_per_second + newest
+        )
+        self._completed_items = 0
 
 
 def _rank_chunk(chunk: Chunk) -> tuple[int, str, int]:
     return chunk.job.deadline, chunk.job.id, chunk.index
 
 
-def _is_one_run(chunk: Chunk, item: Item) -> bool:
+def _is_run_once(chunk: Chunk, item: Item) -> bool:
     return not item.is_idempotent or not _can_stream(chunk.job)
 
 
@@ -302,8 +312,8 @@
     return job.url in {CHAT_PATH, TEXT_PATH}
 
 
-def _make_run(turn: Turn) -> Run:
-    chunk, item = turn.chunk, turn.item
+def _make_run(active: ActiveItem) -> Run:
+    chunk, item = active.chunk, active.item
     is_stream = _can_stream(chunk.job)
     parts = (chunk.job.id, chunk.index, item.index, chunk.claim.fence)
     return Run(
--- a/tests/batch/test_takeover_machine.py
+++ b/tests/batch/test_takeover_machine.py
@@ -210,7 +210,7 @@
             return
         item = queue.popleft()
         try:
-            chunk.begin(item, alone=alone)
+            chunk.record_start(item, alone=alone)
         except JournalEndedError:
             chunk.is_lost = True
             return
@@ -336,9 +336,9 @@
 
 
 @pytest.fixture(autouse=True)
-def _no_patience(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(journal_module, 'COPY_PATIENCE_SECONDS', 0)
-    monkeypatch.setattr(journal_module, 'RETRY_GAP_SECONDS', 0)
+def _no_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(journal_module, 'COPY_TIMEOUT_SECONDS', 0)
+    monkeypatch.setattr(journal_module, 'RETRY_INTERVAL_SECONDS', 0)
     # The order of writes is what counts here, not that they are forced.
     monkeypatch.setattr(storage, 'call_in_thread', _call_at_once)
     monkeypatch.setattr(folder, 'call_in_thread', _call_at_once)
--- a/tests/local/test_stock.py
+++ b/tests/local/test_chunks.py
@@ -8,8 +8,8 @@
 import pytest
 
 from wigeonpier.batch.claims import Claim
-from wigeonpier.local import stock as stock_module
-from wigeonpier.local.stock import Stock
+from wigeonpier.local import chunks as chunks_module
+from wigeonpier.local.chunks import OwnedChunks
 
 SECONDS = 0.05
 
@@ -27,12 +27,12 @@
         self.job = SimpleNamespace(id='j')
         self.journal = SimpleNamespace(
             close=lambda: None,
-            on_end=gevent.event.Event(),
+            ended_event=gevent.event.Event(),
             ended=None,
         )
         self.is_given_back = False
 
-    def give_back(self) -> None:
+    def release_claim(self) -> None:
         """Note it."""
         self.is_given_back = True
 
@@ -46,33 +46,35 @@
         gevent.sleep(SECONDS)
         return made
 
-    monkeypatch.setattr(stock_module, 'claim_chunk', lambda *_given: (Claim, 1))
-    monkeypatch.setattr(stock_module, 'open_chunk', open_slowly)
-    monkeypatch.setattr(Stock, '_check_job', lambda *_given: None)
+    monkeypatch.setattr(
+        chunks_module, 'claim_chunk', lambda *_given: (Claim, 1)
+    )
+    monkeypatch.setattr(chunks_module, 'open_chunk', open_slowly)
+    monkeypatch.setattr(OwnedChunks, '_check_job', lambda *_given: None)
     return made
 
 
-def claim(stock: Stock) -> gevent.Greenlet:
+def claim(owned_chunks: OwnedChunks) -> gevent.Greenlet:
     offer = SimpleNamespace(
         job=SimpleNamespace(id='j'), chunk=0, claim=None, revision=0
     )
-    return gevent.spawn(stock._claim, offer)
+    return gevent.spawn(owned_chunks._claim, offer)
 
 
 def test_a_job_that_is_cancelled_meanwhile_is_not_run(chunk) -> None:
     """It was dropped from the chunks here before this one was among them."""
-    stock = Stock(SimpleNamespace())
-    claiming = claim(stock)
+    owned_chunks = OwnedChunks(SimpleNamespace())
+    claiming = claim(owned_chunks)
     gevent.sleep(SECONDS / 2)
-    stock.drop_jobs(('j',))
+    owned_chunks.stop_jobs(('j',))
     claiming.join()
     gevent.sleep(0)
-    assert not stock.chunks
+    assert not owned_chunks.chunks
     assert chunk.is_lost
     assert chunk.is_given_back
 
 
 def test_a_job_that_goes_on_is_run(chunk) -> None:
-    stock = Stock(SimpleNamespace())
-    claim(stock).join()
-    assert list(stock.chunks.values()) == [chunk]
+    owned_chunks = OwnedChunks(SimpleNamespace())
+    claim(owned_chunks).join()
+    assert list(owned_chunks.chunks.values()) == [chunk]
--- a/tests/local/test_work.py
+++ b/tests/local/test_work.py
@@ -7,8 +7,8 @@
 import gevent
 
 from wigeonpier.invariants import Promise, violations
+from wigeonpier.local.chunks import OwnedChunks
 from wigeonpier.local.gate import Gate
-from wigeonpier.local.stock import Stock
 from wigeonpier.local.work import Worker
 from wigeonpier.telemetry.metrics import Metrics
 
@@ -29,11 +29,11 @@
         self.begun: list[object] = []
         self.journal = SimpleNamespace(close=lambda: None)
 
-    def begin(self, item: object, *, alone: bool) -> None:
+    def record_start(self, item: object, *, alone: bool) -> None:
         """Note the item."""
         self.begun.append((item, alone))
 
-    def give_back(self) -> None:
+    def release_claim(self) -> None:
         """Keep nothing."""
 
 
@@ -44,13 +44,13 @@
     promise that cancelled jobs stop was found broken.
     """
     chunk = StandInChunk()
-    stock = Stock(SimpleNamespace())
-    stock.chunks[('j', 0)] = chunk
-    worker = Worker(Gate(), SimpleNamespace(), None, stock, Metrics())
-    stock.on_drop = worker._stop_chunk
+    owned_chunks = OwnedChunks(SimpleNamespace())
+    owned_chunks.chunks[('j', 0)] = chunk
+    worker = Worker(Gate(), SimpleNamespace(), None, owned_chunks, Metrics())
+    owned_chunks.on_drop = worker._stop_chunk
     item = SimpleNamespace(index=0, is_idempotent=True)
     worker._spawn(chunk, item, alone=False)
-    stock.drop_jobs(('j',))
+    owned_chunks.stop_jobs(('j',))
     before = violations[Promise.cancelled_job_stops]
     gevent.sleep(0.05)
     assert violations[Promise.cancelled_job_stops] == before
