--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -1,4 +1,4 @@
-"""A chunk in the hands of its owner: claim, read, work, finish."""
+"""Operations on a chunk that this process owns, and on its claim."""
 
 from __future__ import annotations
 
@@ -52,21 +52,21 @@
 
 
 class ChunkProblemError(Exception):
-    """A chunk that cannot be worked on now; another try may succeed."""
+    """A chunk that cannot be processed now; a later attempt may succeed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Workshop:
-    """What owners of chunks use.
+    """Services and limits that owners of chunks share.
 
     :param platform: port to the key-value service.
-    :param disks: reaches data folders.
-    :param list_disks: data folders that may be chosen.
-    :param is_gone: whether a folder is known never to come back.
+    :param disks: client of the data folders.
+    :param list_disks: returns the data folders that may be chosen.
+    :param is_gone: whether a folder is known to be lost for good.
     :param owner: name of this VM.
-    :param copies: copies wanted.
-    :param least_copies: fewest copies.
-    :param bounds: how often an item is tried.
+    :param copies: wanted number of copies of a segment.
+    :param least_copies: minimum number of copies of a segment.
+    :param bounds: limits on attempts per item.
     """
 
     platform: Platform
@@ -81,10 +81,10 @@
 
 @dataclass(slots=True)
 class Item:
-    """One item of a chunk in work.
+    """One item of an owned chunk.
 
     :param index: position in the chunk.
-    :param line: what to run.
+    :param line: line of the input file.
     :param is_idempotent: whether it may run more than once.
     """
 
@@ -97,18 +97,18 @@
 class Chunk:
     """A chunk that this process owns.
 
-    :param context: what owners use.
+    :param context: services and limits that owners share.
     :param job: its job.
     :param index: position in the job.
-    :param claim: the claim as written.
+    :param claim: the claim as last written.
     :param revision: revision of the claim's key.
-    :param journal: writes the segment of this owner.
+    :param journal: writer of this owner's segment.
     :param items: its items.
-    :param ledgers: what is durably known of each.
+    :param ledgers: durable state of each item, in the order of ``items``.
     :param ready: items to run, in order.
     :param suspects: items to run alone, after the others.
-    :param is_lost: whether another process owns it now, or may.
-    :param move_lock: held while the journal goes on elsewhere.
+    :param is_lost: whether another process owns it or may own it.
+    :param move_lock: held while the journal moves to other folders.
     """
 
     context: Workshop
@@ -126,42 +126,42 @@
 
     @property
     def name(self) -> str:
-        """Name the chunk in logs."""
+        """Return the name of the chunk for logs."""
         job = self.job
         return f'{job.id}/{self.index}'
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether each item has its result."""
+        """Return whether every item has a result."""
         return all(ledger.outcome for ledger in self.ledgers)
 
     def record_start(self, item: Item, *, alone: bool) -> None:
-        """Note durably that an item may run; it may start only after this.
+        """Record durably that an item starts; it must not run before this.
 
         :param item: the item.
-        :param alone: whether nothing else of a job runs at the upstream.
+        :param alone: whether no other batch item runs at the upstream.
         """
         ledger = self.ledgers[item.index]
         label = f'{self.name} item {item.index}'
         check_promise(
             item.is_idempotent or not (ledger.losses or ledger.is_open),
             Promise.runs_at_most_once,
-            f'{label} begins again',
+            f'{label} is started again',
         )
         check_promise(
             ledger.outcome is None,
             Promise.exactly_one_result,
-            f'{label} has a result already',
+            f'{label} already has a result',
         )
         self.write(Begin(item.index, alone))
 
     def write(self, *records: ItemRecord) -> None:
-        """Write records; when this returns, they count.
+        """Write records durably and apply them to the ledgers.
 
-        Where a copy was lost, the journal goes on in other folders first.
+        If a copy was lost, the journal first moves to other folders.
 
-        :param records: what happened.
-        :raises JournalEndedError: when this process owns the chunk no more.
+        :param records: records of items of this chunk.
+        :raises JournalEndedError: when this process no longer owns the chunk.
         """
         while True:
             journal = self.journal
@@ -175,27 +175,28 @@
                 return
 
     def plan(self, *items: Item) -> None:
-        """Put items that do not run where their ledgers say they belong.
+        """Queue items that do not run, or settle them, by their ledgers.
 
-        :param items: the items; those that are past help get their results.
+        :param items: the items; one that may not run again gets an error
+            result.
         """
-        ended = [
+        outcomes = [
             outcome
             for item in items
             if (outcome := self._plan_item(item)) is not None
         ]
-        if ended:
-            self.write(*ended)
+        if outcomes:
+            self.write(*outcomes)
 
     def finish(self) -> Result[int, PlatformFailure]:
-        """Make the results readable: the chunk is done.
+        """Mark the chunk as done, which makes its results readable.
 
         :returns: the claim's revision, or why it could not be written.
         """
         check_promise(
             self.is_settled,
             Promise.exactly_one_result,
-            f'{self.name} is finished with items open',
+            f'{self.name} is finished but some items have no result',
         )
         done = msgspec.structs.replace(
             self.claim,
@@ -207,7 +208,10 @@
         return self.write_claim(done)
 
     def release_claim(self) -> None:
-        """Let another owner go on at once; what runs is stopped before."""
+        """Release the claim, so that another owner can continue at once.
+
+        The caller stops all running items first.
+        """
         released = msgspec.structs.replace(
             self.claim,
             owner='',
@@ -221,11 +225,11 @@
         journal: JournalWriter,
         error: JournalEndedError,
     ) -> None:
-        """Go on in other folders where a copy was lost.
+        """Move the journal to other folders after a copy was lost.
 
-        :param journal: the one that has ended.
-        :param error: why.
-        :raises JournalEndedError: when this process owns the chunk no more.
+        :param journal: the journal that ended.
+        :param error: why it ended.
+        :raises JournalEndedError: when this process no longer owns the chunk.
         """
         if error.end is not JournalEnd.copy_lost:
             raise error
@@ -237,10 +241,10 @@
             raise JournalEndedError(JournalEnd.fenced, frozenset())
 
     def write_claim(self, claim: Claim) -> Result[int, PlatformFailure]:
-        """Replace the claim and find out whether that stands.
+        """Replace the claim and confirm that the write succeeded.
 
         :param claim: the new claim.
-        :returns: its revision.
+        :returns: its revision, or why it was not written.
         """
         written = write_claim(
             self.context.platform,
@@ -296,14 +300,14 @@
     claim: Claim,
     revision: int,
 ) -> Result[int, PlatformFailure]:
-    """Write a claim and find out whether it stands.
+    """Write a claim and confirm that the write succeeded.
 
-    :param platform: the port.
+    :param platform: port to the key-value service.
     :param job: id of the job.
     :param index: index of the chunk.
-    :param claim: the claim.
+    :param claim: the new claim.
     :param revision: revision that it replaces, 0 to create.
-    :returns: its revision.
+    :returns: its revision, or why it was not written.
     """
     return swap_certainly(
         platform,
@@ -318,10 +322,10 @@
 
 
 def move_journal(chunk: Chunk, lost: frozenset[str]) -> None:
-    """Go on in a new segment on other folders after a copy was lost.
+    """Continue in a new segment on other folders after a copy was lost.
 
-    :param chunk: the chunk; nothing of it runs meanwhile.
-    :param lost: copies that failed.
+    :param chunk: the chunk; none of its records is written meanwhile.
+    :param lost: incarnations of the folders that failed.
     :raises ChunkProblemError: when that is not possible now.
     """
     context = chunk.context
@@ -350,11 +354,11 @@
 
 
 def make_error(item: Item, status: Status, reason: str) -> Outcome:
-    """Make a result that is an error.
+    """Build the record of an error result.
 
     :param item: the item.
-    :param status: how it ended.
-    :param reason: what is known.
+    :param status: status of the result.
+    :param reason: message for the caller.
     :returns: the record.
     """
     body = msgspec.json.encode({'code': status.value, 'message': reason})
@@ -368,10 +372,10 @@
 
 
 def count_outcomes(ledgers: list[Ledger]) -> Tally:
-    """Add up the results of a chunk.
+    """Count the results of a chunk by status and add up their tokens.
 
-    :param ledgers: ledgers with their outcomes.
-    :returns: the sum.
+    :param ledgers: ledgers of the chunk's items.
+    :returns: the totals.
     """
     outcomes = [ledger.outcome for ledger in ledgers if ledger.outcome]
     counts = Counter(outcome.status.value for outcome in outcomes)
@@ -385,7 +389,7 @@
 
 
 def draw_token() -> str:
-    """Draw the token of one write of a claim.
+    """Generate a random token that identifies one write of a claim.
 
     :returns: hexadecimal digits.
     """
@@ -397,17 +401,17 @@
     key: str,
     lost: frozenset[str],
 ) -> tuple[str, ...]:
-    """Choose folders for a segment, ones that failed of late last.
+    """Choose folders for a segment, recently failed ones only if needed.
 
-    :param context: what owners use.
-    :param key: spreads the choice.
-    :param lost: folders that failed just now.
-    :returns: incarnations.
-    :raises ChunkProblemError: when there are too few.
+    :param context: services and limits that owners share.
+    :param key: key by which the choice is spread over the folders.
+    :param lost: incarnations of folders that have just failed.
+    :returns: incarnations of the chosen folders.
+    :raises ChunkProblemError: when too few folders are available.
     """
     disks = context.list_disks()
-    # Folders that failed just now may be well again: where there are no
-    # others, a new segment on the same ones is as good.
+    # A folder that has just failed may work again: if there are no others,
+    # a new segment on the same folders is as safe.
     for avoided in (lost | context.disks.list_failing(), lost, frozenset()):
         chosen = choose_copies(disks, key, context.copies, avoided)
         if len(chosen) >= context.least_copies:
@@ -416,10 +420,10 @@
 
 
 def write_snapshots(journal: JournalWriter, ledgers: list[Ledger]) -> None:
-    """Begin a segment with all that is known, and mark it whole.
+    """Start a segment with a complete snapshot of the ledgers.
 
-    :param journal: writes the segment.
-    :param ledgers: what is known of each item.
+    :param journal: writer of the segment.
+    :param ledgers: durable state of each item.
     """
     snapshots = [
         write_snapshot(index, ledger) for index, ledger in enumerate(ledgers)
--- a/src/wigeonpier/batch/takeover.py
+++ b/src/wigeonpier/batch/takeover.py
@@ -1,4 +1,4 @@
-"""Becomes the owner of a chunk: claim, fence, read, go on."""
+"""Takes ownership of a chunk and restores its state from the journal."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
     previous: Claim | None,
     revision: int,
 ) -> tuple[Claim, int]:
-    """Become the owner of a chunk.
+    """Write a claim that makes this process the owner of a chunk.
 
-    :param context: what owners use.
+    :param context: services and limits that owners share.
     :param job: its job.
     :param index: position in the job.
-    :param previous: the claim that is replaced.
-    :param revision: its revision, 0 where there is none.
+    :param previous: the claim to replace, ``None`` if there is none.
+    :param revision: its revision, 0 if there is none.
     :returns: the new claim and its revision.
-    :raises ChunkProblemError: when another owner was faster, or there are too
-        few data folders.
+    :raises ChunkProblemError: when another owner claimed it first, or there
+        are too few data folders.
     """
     fence = previous.fence + 1 if previous else 1
     copies = choose_folders(context, f'{job.id}/{index}', frozenset())
@@ -76,16 +76,17 @@
     claim: Claim,
     revision: int,
 ) -> Chunk:
-    """Read what is known of a claimed chunk and begin its own segment.
+    """Read the state of a claimed chunk and start a segment for it.
 
-    :param context: what owners use.
+    :param context: services and limits that owners share.
     :param job: its job.
     :param index: position in the job.
     :param claim: this process's claim.
     :param revision: its revision.
     :returns: the chunk, ready to run.
-    :raises ChunkProblemError: when something cannot be read now.
-    :raises JournalEndedError: when a newer owner was faster.
+    :raises ChunkProblemError: when the input or an older segment cannot be
+        read now.
+    :raises JournalEndedError: when a newer owner has claimed it.
     """
     items = _read_items(context, job, index)
     ledgers = _read_ledgers(context, job, index, claim, items)
@@ -123,7 +124,7 @@
         lambda copy: context.disks.read_page(copy, job.file, index),
     )
     if page is None:
-        raise ChunkProblemError('no copy of the input page answers')
+        raise ChunkProblemError('no copy of the input page can be read')
     lines = [msgspec.json.decode(line, type=Line) for line in page.splitlines()]
     return [
         Item(
@@ -143,19 +144,19 @@
     items: list[Item],
 ) -> list[Ledger]:
     ledgers = [Ledger() for _ in items]
-    gone = 0
+    lost_segments = 0
     for segment in reversed(claim.segments[:-1]):
         journal = _read_segment(context, job, index, claim, segment, items)
         if journal is None:
-            gone += 1
+            lost_segments += 1
         elif journal.is_ready:
             ledgers = journal.ledgers
             break
     for ledger in ledgers:
         note_loss(ledger)
         if ledger.outcome is None:
-            # Of a segment that is gone it is not known what ran.
-            ledger.losses += gone
+            # A lost segment may have recorded a start of this item.
+            ledger.losses += lost_segments
     return ledgers
 
 
@@ -167,10 +168,13 @@
     segment: Segment,
     items: list[Item],
 ) -> Journal | None:
-    """Fence a segment and read the copy that has most.
+    """Fence a segment and read its longest copy.
 
-    All copies begin alike, and one that is fenced takes no more, so that the
-    longest of those that answer has all that counts.
+    Each copy is a prefix of the same records, and a fenced copy accepts no
+    more. A record counts once every copy has it, so the longest reachable
+    copy has all records that count.
+
+    :returns: the journal, ``None`` if all copies are lost for good.
     """
     contents: list[bytes] = []
     for incarnation in segment.copies:
@@ -190,4 +194,4 @@
         )
     if all(map(context.is_gone, segment.copies)):
         return None
-    raise ChunkProblemError('no copy of an older segment answers')
+    raise ChunkProblemError('no copy of an older segment can be read')
--- a/tests/batch/test_takeover_machine.py
+++ b/tests/batch/test_takeover_machine.py
@@ -1,4 +1,4 @@
-"""Owners of a chunk that claim, crash, pause and wake in any order."""
+"""Tests owners of a chunk that claim, stop and resume in any order."""
 
 from __future__ import annotations
 
@@ -45,13 +45,16 @@
 from wigeonpier.records import Outcome, Status
 
 ITEMS = 3
-ONE_RUN = frozenset((1, 2))
-CENTRES = ('a', 'b', 'c', 'd')
+RUN_ONCE_ITEMS = frozenset((1, 2))
+DATA_CENTRES = ('a', 'b', 'c', 'd')
 
 
 @dataclass
 class MemoryPlatform:
-    """Keys in memory; loses the answers that a test asks for."""
+    """Key-value service in memory that can lose answers.
+
+    :param lose: number of next answers to lose.
+    """
 
     entries: dict[str, Entry] = field(default_factory=dict)
     revision: int = 0
@@ -79,13 +82,13 @@
 
 
 class MemoryDisks:
-    """Data folders reached without a network; each can misbehave."""
+    """Data folders in this process that can lose answers."""
 
     def __init__(self, root: str) -> None:
         self.root = root
         self.folders: dict[str, DataFolder] = {}
         self.lose_answers = 0
-        for centre in CENTRES:
+        for centre in DATA_CENTRES:
             self.add(centre)
 
     def add(self, centre: str) -> None:
@@ -138,7 +141,7 @@
                     'custom_id': f'item-{number}',
                     'url': '/v1/chat/completions',
                     'body': {},
-                    'idempotent': number not in ONE_RUN,
+                    'idempotent': number not in RUN_ONCE_ITEMS,
                 }
             )
             for number in range(ITEMS)
@@ -147,7 +150,7 @@
 
 
 class TakeoverMachine(RuleBasedStateMachine):
-    """The model: which items were started, and which results counted."""
+    """Tracks which items were started and which results counted."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -157,10 +160,10 @@
         self.job = build_job(pages=(ITEMS,))
         self.key = name_chunk(self.job.id, 0)
         self.owners: list[Chunk] = []
-        self.begun: list[set[int]] = []
+        self.running: list[set[int]] = []
         self.starts = [0] * ITEMS
-        self.counted: dict[int, Outcome] = {}
-        self.readable: list[Outcome] | None = None
+        self.counted_results: dict[int, Outcome] = {}
+        self.published: list[Outcome] | None = None
         self.lost_folders = 0
 
     @initialize()
@@ -169,7 +172,7 @@
 
     @rule()
     def claim(self) -> None:
-        """Someone takes the chunk over, whoever owns it now."""
+        """A new owner claims the chunk."""
         workshop = Workshop(
             platform=self.platform,
             disks=self.disks,
@@ -195,16 +198,16 @@
             chunk = open_chunk(workshop, self.job, 0, claim, revision)
         except (ChunkProblemError, JournalEndedError):
             return
-        self._note_settled(chunk)
+        self._record_settled(chunk)
         self.owners.append(chunk)
-        self.begun.append(set())
+        self.running.append(set())
 
     @precondition(lambda self: self.owners)
     @rule(pick=st.integers(0, 9), alone=st.booleans())
     def start_item(self, pick: int, alone: bool) -> None:
-        """Any owner, a stale one too, starts its next item."""
-        place = pick % len(self.owners)
-        chunk = self.owners[place]
+        """Any owner, including a stale one, starts its next item."""
+        position = pick % len(self.owners)
+        chunk = self.owners[position]
         queue = chunk.ready or chunk.suspects
         if chunk.is_lost or not queue:
             return
@@ -215,22 +218,24 @@
             chunk.is_lost = True
             return
         self.starts[item.index] += 1
-        self.begun[place].add(item.index)
-
-    @precondition(lambda self: any(self.begun))
-    @rule(pick=st.integers(0, 9), way=st.sampled_from(('good', 'lost')))
-    def end_item(self, pick: int, way: str) -> None:
-        """An owner's item ends, with an answer or with its upstream."""
-        places = [place for place, items in enumerate(self.begun) if items]
-        place = places[pick % len(places)]
-        chunk = self.owners[place]
-        item = chunk.items[min(self.begun[place])]
-        self.begun[place].discard(item.index)
+        self.running[position].add(item.index)
+
+    @precondition(lambda self: any(self.running))
+    @rule(pick=st.integers(0, 9), end=st.sampled_from(('good', 'lost')))
+    def end_item(self, pick: int, end: str) -> None:
+        """An owner's item ends with an answer, or its upstream is lost."""
+        positions = [
+            position for position, items in enumerate(self.running) if items
+        ]
+        position = positions[pick % len(positions)]
+        chunk = self.owners[position]
+        item = chunk.items[min(self.running[position])]
+        self.running[position].discard(item.index)
         if chunk.is_lost:
             return
         try:
-            if way == 'good':
-                body = msgspec.Raw(b'"owner %d"' % place)
+            if end == 'good':
+                body = msgspec.Raw(b'"owner %d"' % position)
                 chunk.write(
                     Outcome(
                         item.index,
@@ -245,15 +250,15 @@
                 chunk.plan(item)
         except JournalEndedError:
             chunk.is_lost = True
-        self._note_settled(chunk)
+        self._record_settled(chunk)
 
     @precondition(lambda self: self.owners)
     @rule()
     def cancel(self) -> None:
-        """An entry fences the owner and ends what is open."""
+        """An entry fences the owner and cancels the open items."""
         self.claim()
         chunk = self.owners[-1]
-        if chunk.is_lost or self.begun[-1]:
+        if chunk.is_lost or self.running[-1]:
             return
         items = (*chunk.ready, *chunk.suspects)
         try:
@@ -265,13 +270,13 @@
             return
         chunk.ready.clear()
         chunk.suspects.clear()
-        self._note_settled(chunk)
+        self._record_settled(chunk)
         self.finish(len(self.owners) - 1)
 
     @precondition(lambda self: self.owners)
     @rule(pick=st.integers(0, 9))
     def finish(self, pick: int) -> None:
-        """Any owner whose items are all settled makes them readable."""
+        """Any owner whose items are all settled publishes the results."""
         chunk = self.owners[pick % len(self.owners)]
         if chunk.is_settled and not chunk.is_lost:
             chunk.finish()
@@ -287,24 +292,26 @@
     @precondition(lambda self: self.lost_folders < 1)
     @rule(pick=st.integers(0, 9))
     def replace_folder(self, pick: int) -> None:
-        """One data folder is lost, and an empty one comes in its place."""
+        """One data folder is lost and replaced by an empty one."""
         names = list(self.disks.folders)
         folder = self.disks.folders.pop(names[pick % len(names)])
         self.disks.add(folder.data_centre)
         self.lost_folders += 1
 
     @invariant()
-    def nothing_that_runs_once_starts_twice(self) -> None:
-        assert all(self.starts[index] <= 1 for index in ONE_RUN), self.starts
+    def run_once_items_start_at_most_once(self) -> None:
+        assert all(self.starts[index] <= 1 for index in RUN_ONCE_ITEMS), (
+            self.starts
+        )
 
     @invariant()
-    def results_are_whole_and_never_change(self) -> None:
+    def published_results_are_complete_and_never_change(self) -> None:
         entry = self.platform.entries.get(self.key)
         if entry is None:
             return
         claim = msgspec.json.decode(entry.value, type=Claim)
         if not claim.is_done:
-            assert self.readable is None
+            assert self.published is None
             return
         (segment,) = claim.segments
         name = (self.job.id, 0, segment.fence)
@@ -312,18 +319,21 @@
             if copy in self.disks.folders:
                 content = self.disks.folders[copy].read_segment(name) or b''
                 outcomes = read_outcomes(content, ITEMS, 'chunk')
-                assert self.readable in (None, outcomes)
-                self.readable = outcomes
-                for index, counted in self.counted.items():
+                assert self.published in (None, outcomes)
+                self.published = outcomes
+                for index, counted in self.counted_results.items():
                     assert outcomes[index] == counted
 
-    def _note_settled(self, chunk: Chunk) -> None:
-        """A result that counted for an owner in force must stay."""
+    def _record_settled(self, chunk: Chunk) -> None:
+        """Record the results that counted for a current owner.
+
+        They must never change.
+        """
         if chunk.journal.ended or chunk.is_lost:
             return
         for index, ledger in enumerate(chunk.ledgers):
             if ledger.outcome:
-                self.counted.setdefault(index, ledger.outcome)
+                self.counted_results.setdefault(index, ledger.outcome)
 
     def teardown(self) -> None:
         for chunk in self.owners:
@@ -339,7 +349,7 @@
 def _no_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(journal_module, 'COPY_TIMEOUT_SECONDS', 0)
     monkeypatch.setattr(journal_module, 'RETRY_INTERVAL_SECONDS', 0)
-    # The order of writes is what counts here, not that they are forced.
+    # Only the order of writes matters here, not that they are synced.
     monkeypatch.setattr(storage, 'call_in_thread', _call_at_once)
     monkeypatch.setattr(folder, 'call_in_thread', _call_at_once)
     monkeypatch.setattr(storage.os, 'fsync', lambda _descriptor: None)
@@ -350,7 +360,7 @@
 
 
 class UnfencedDisks(MemoryDisks):
-    """Data folders that forget to refuse older owners."""
+    """Data folders that do not reject older owners."""
 
     def fence(self, incarnation, job, chunk, fence):
         folder = self.folders.get(incarnation)
@@ -358,7 +368,7 @@
 
 
 class UnfencedMachine(TakeoverMachine):
-    """The same runs with the fence switched off."""
+    """Runs the same rules without fencing."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -366,7 +376,7 @@
 
 
 class OneCopyMachine(TakeoverMachine):
-    """The same runs where a record counts when any copy has it."""
+    """Runs the same rules with records written to one copy only."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -383,8 +393,8 @@
 
 
 @pytest.mark.parametrize('machine', [UnfencedMachine, OneCopyMachine])
-def test_a_switched_off_guard_is_caught(machine) -> None:
-    """Each guard is needed: without it the same runs find a violation."""
+def test_disabling_a_safeguard_is_detected(machine) -> None:
+    """Without either safeguard, the same rules find a violation."""
     with pytest.raises((AssertionError, BaseExceptionGroup)):
         run_state_machine_as_test(
             machine,
