--- a/src/wigeonpier/batch/claims.py
+++ b/src/wigeonpier/batch/claims.py
@@ -1,4 +1,4 @@
-"""Claims of chunks in the key-value service, and how they are written."""
+"""Claims of chunks as they are stored in the key-value service."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """One owner's part of a chunk's journal.
 
     :param fence: fencing number of the owner.
-    :param copies: incarnations of the data folders that hold it.
+    :param copies: incarnations of the data folders that store it.
     """
 
     fence: int
@@ -17,13 +17,13 @@
 
 
 class Tally(msgspec.Struct, frozen=True):
-    """What the results of a chunk or job add up to.
+    """Totals of the results of a chunk or job.
 
     :param succeeded: items with an answer.
     :param failed: items that failed.
     :param cancelled: items that were cancelled.
     :param outcome_unknown: items that may have run and have no answer.
-    :param prompt_tokens: tokens read by answered items.
+    :param prompt_tokens: prompt tokens of answered items.
     :param answer_tokens: tokens generated for answered items.
     """
 
@@ -36,21 +36,22 @@
 
     @property
     def items(self) -> int:
-        """Count the items."""
+        """Return the number of items."""
         return (
             self.succeeded + self.failed + self.cancelled + self.outcome_unknown
         )
 
 
 class Claim(msgspec.Struct, frozen=True, kw_only=True):
-    """Who may work on a chunk, and where its journal is.
-
-    :param owner: name of the owner's VM, empty where it was given back.
-    :param token: drawn anew at each write, to know one's own write again.
-    :param fence: counts up with each owner.
-    :param segments: journal parts, oldest first.
-    :param is_done: whether each item has its result in the last segment.
-    :param tally: what the results add up to.
+    """The owner of a chunk and the location of its journal.
+
+    :param owner: name of the owner's VM, empty after the claim was released.
+    :param token: random for each write, so that a writer can recognize its
+        own write.
+    :param fence: fencing number, which increases with each owner.
+    :param segments: segments of the journal, oldest first.
+    :param is_done: whether the last segment has a result of each item.
+    :param tally: totals of the results.
     """
 
     owner: str
@@ -62,9 +63,9 @@
 
 
 def add_tallies(tallies: list[Tally]) -> Tally:
-    """Add the tallies of chunks.
+    """Add up the tallies of chunks.
 
-    :param tallies: one a chunk.
+    :param tallies: one per chunk.
     :returns: their sum.
     """
     return Tally(
--- a/src/wigeonpier/batch/journal.py
+++ b/src/wigeonpier/batch/journal.py
@@ -1,4 +1,4 @@
-"""Writes one segment to all of its copies, many records at a time."""
+"""Writes one segment of a journal to all of its copies, in batches."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class JournalEnd(StrEnum):
-    """Why nothing more can be written to a segment."""
+    """Reason why a segment accepts no more records."""
 
     fenced = 'fenced'
     copy_lost = 'copy_lost'
@@ -37,24 +37,24 @@
 
 
 class JournalEndedError(Exception):
-    """A record that was not counted.
+    """A record was not written to every copy, so that it does not count.
 
-    :param end: why.
-    :param lost: copies that could not be reached.
+    :param end: why the segment accepts no more records.
+    :param lost: incarnations of the copies that could not be written.
     """
 
     def __init__(self, end: JournalEnd, lost: frozenset[str]) -> None:
-        """Keep why."""
+        """Store the reason and the lost copies."""
         super().__init__(end.value)
         self.end = end
         self.lost = lost
 
 
 class JournalWriter:
-    """Appends records; a record counts when every copy has it.
+    """Appends records; a record counts once every copy has it.
 
-    While nothing is to be written an empty append once a second shows the
-    folders that the owner lives.
+    While there is nothing to write, an empty append every
+    ``KEEPALIVE_SECONDS`` shows the folders that the owner is alive.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         name: tuple[str, int, int],
         copies: tuple[str, ...],
     ) -> None:
-        """Write the segment ``name`` to ``copies``."""
+        """Start writing the segment ``name`` to the folders ``copies``."""
         self.copies = copies
         self.size = 0
         self._disks = disks
@@ -77,14 +77,14 @@
 
     @property
     def ended(self) -> JournalEndedError | None:
-        """Tell why nothing more can be written, ``None`` while it can."""
+        """Return why the segment ended, ``None`` while it is writable."""
         return self._ended
 
     def commit(self, records: Iterable[Record]) -> None:
-        """Write records and wait until they count.
+        """Write records and wait until every copy has them.
 
-        :param records: what happened, in order.
-        :raises JournalEndedError: when they do not count.
+        :param records: records in order.
+        :raises JournalEndedError: when they were not written to every copy.
         """
         if self._ended:
             raise self._ended
@@ -94,7 +94,7 @@
         waiter.get()
 
     def close(self) -> None:
-        """Write nothing more."""
+        """Stop writing; pending commits fail."""
         if self._ended is None:
             self._end(JournalEndedError(JournalEnd.closed, frozenset()))
         self._loop.kill(block=False)
@@ -110,8 +110,8 @@
             try:
                 failure = self._write(lines)
             except gevent.GreenletExit:
-                # Closed in the middle of a write: whoever waits for it must
-                # hear so, or its item is taken to run for ever.
+                # Closed during a write: fail the waiting commits, otherwise
+                # their items would count as running forever.
                 closed = JournalEndedError(JournalEnd.closed, frozenset())
                 waiter.set_exception(self._ended or closed)
                 raise
@@ -130,16 +130,16 @@
     def _write(self, lines: bytes) -> JournalEndedError | None:
         deadline = time.monotonic() + COPY_TIMEOUT_SECONDS
         while True:
-            # Copies that have the lines already are written to again, which
-            # adds nothing there but shows that the owner lives.
-            answers = self._write_once(lines)
-            if DiskFailure.fenced in answers.values():
+            # Copies that already have the lines are written to again: this
+            # adds nothing but shows that the owner is alive.
+            failures = self._write_once(lines)
+            if DiskFailure.fenced in failures.values():
                 return JournalEndedError(JournalEnd.fenced, frozenset())
-            missing = tuple(answers)
+            missing = tuple(failures)
             if not missing:
                 return None
-            is_gone = not _PERMANENT_FAILURES.isdisjoint(answers.values())
-            if is_gone or time.monotonic() > deadline:
+            is_permanent = not _PERMANENT_FAILURES.isdisjoint(failures.values())
+            if is_permanent or time.monotonic() > deadline:
                 return JournalEndedError(
                     JournalEnd.copy_lost,
                     frozenset(missing),
@@ -147,15 +147,15 @@
             gevent.sleep(RETRY_INTERVAL_SECONDS)
 
     def _write_once(self, lines: bytes) -> dict[str, DiskFailure]:
-        workers = {
+        greenlets = {
             copy: gevent.spawn(self._append, copy, lines)
             for copy in self.copies
         }
-        gevent.joinall(list(workers.values()))
+        gevent.joinall(list(greenlets.values()))
         return {
-            copy: worker.value.err_value
-            for copy, worker in workers.items()
-            if isinstance(worker.value, Err)
+            copy: greenlet.value.err_value
+            for copy, greenlet in greenlets.items()
+            if isinstance(greenlet.value, Err)
         }
 
     def _append(self, copy: str, lines: bytes) -> Result[int, DiskFailure]:
--- a/src/wigeonpier/batch/records.py
+++ b/src/wigeonpier/batch/records.py
@@ -1,4 +1,4 @@
-"""Records of a chunk's journal as lines of a file."""
+"""Encodes records of a chunk's journal as lines of a file."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Make the line of a record.
+    """Encode a record as a line.
 
     :param record: the record.
-    :returns: the line, with its end.
+    :returns: the line, with the line end.
     """
     return frame_line(_ENCODER.encode(record))
 
 
 def decode_records(lines: bytes) -> Iterator[Record]:
-    """Read sound lines.
+    """Decode valid lines.
 
-    :param lines: whole lines that are known to be sound.
+    :param lines: complete lines that are known to be valid.
     :yields: the records in order.
     """
     for line in lines.splitlines():
--- a/tests/batch/test_journal.py
+++ b/tests/batch/test_journal.py
@@ -1,4 +1,4 @@
-"""Journals that are closed while they write."""
+"""Tests of journals that are closed during a write."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class SlowDisks:
-    """Folders that take a while for each append."""
+    """Data folders with slow appends."""
 
     def append(self, _copy, _name, offset: int, lines: bytes) -> Ok[int]:
-        """Append after a while."""
+        """Append after a delay."""
         gevent.sleep(0.2)
         return Ok(offset + len(lines))
 
 
-def test_whoever_waits_for_a_write_hears_that_the_journal_closed() -> None:
-    """Commits that were taken into a write hung for ever.
+def test_pending_commits_fail_when_the_journal_is_closed() -> None:
+    """Commits whose records were already being written hung forever.
 
-    Their items counted as running, so that suspects, which run alone, never
-    started, and the job stood still.
+    Their items counted as running, so suspects, which run alone, never
+    started and the job made no progress.
     """
     journal = JournalWriter(SlowDisks(), ('j', 0, 1), ('disk',))
     writing = gevent.spawn(journal.commit, [Release(0)])
