--- a/src/wigeonpier/batch/__init__.py
+++ b/src/wigeonpier/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: files, chunks, journals, results."""
+"""Batch jobs: their files, chunks, journals and results."""
--- a/src/wigeonpier/batch/models.py
+++ b/src/wigeonpier/batch/models.py
@@ -1,4 +1,4 @@
-"""Files, jobs and lines as they are kept and as callers see them."""
+"""Files, jobs and lines as they are stored and as callers see them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class JobStatus(StrEnum):
-    """Where a job stands, in the words of the published interface."""
+    """Status of a job, as in the published interface."""
 
     in_progress = 'in_progress'
     cancelling = 'cancelling'
@@ -25,7 +25,7 @@
 
 
 class LineHead(msgspec.Struct):
-    """What is read of a line's body.
+    """The part of a line's body that is decoded at upload.
 
     :param model: model to run.
     """
@@ -36,12 +36,12 @@
 class Line(msgspec.Struct):
     """One line of a batch input file.
 
-    :param custom_id: the caller's id of the item, one of its kind a file.
+    :param custom_id: the caller's id of the item, unique in the file.
     :param method: HTTP method.
-    :param url: path, the same one in the whole file.
-    :param body: the request, passed on as it is.
+    :param url: path, the same for all lines of the file.
+    :param body: the request, passed on unchanged.
     :param idempotent: whether it may run more than once, the service's
-        default where it is absent.
+        default if absent.
     """
 
     custom_id: CustomId
@@ -55,12 +55,12 @@
     """An uploaded file.
 
     :param id: its id.
-    :param customer: whose it is.
-    :param filename: name that the caller gave.
-    :param purpose: what it is for.
-    :param bytes: its size.
-    :param pages: lines of each page.
-    :param copies: data folders that hold all pages.
+    :param customer: customer that owns it.
+    :param filename: name given by the caller.
+    :param purpose: its purpose in the published interface.
+    :param bytes: its size in bytes.
+    :param pages: number of lines of each page.
+    :param copies: incarnations of the data folders that store all pages.
     :param digest: digest of its content.
     :param url: path that its lines call.
     :param model: model that its lines run, empty for a plain service.
@@ -84,20 +84,21 @@
     """An accepted batch job that is not finished.
 
     :param id: its id.
-    :param customer: whose it is.
+    :param customer: customer that owns it.
     :param file: the input file.
-    :param pages: lines of each chunk.
-    :param copies: data folders that hold the input.
+    :param pages: number of lines of each chunk.
+    :param copies: incarnations of the data folders that store the input.
     :param url: path that its lines call.
     :param model: model that its lines run.
     :param service: service that runs them.
-    :param idempotent: default for lines that do not say.
-    :param window: completion window as the caller gave it.
+    :param idempotent: default for lines that do not specify it.
+    :param window: completion window as given by the caller.
     :param created: seconds since the epoch.
     :param deadline: seconds since the epoch.
-    :param status: where it stands.
-    :param cancelling_at: when it was cancelled, 0 where it was not.
-    :param metadata: the caller's own.
+    :param status: its status.
+    :param cancelling_at: when it was cancelled, seconds since the epoch, 0 if
+        it was not.
+    :param metadata: metadata given by the caller.
     """
 
     id: str
@@ -118,7 +119,7 @@
 
     @property
     def items(self) -> int:
-        """Count the items."""
+        """Return the number of items."""
         return sum(self.pages)
 
 
@@ -126,10 +127,10 @@
 
 
 def mark_ended(job: Job) -> Job:
-    """Make the small mark that stays of a job whose results are kept.
+    """Build the small record that replaces a job once its results are stored.
 
     :param job: the job.
-    :returns: its mark, without pages and copies.
+    :returns: the record, without pages, copies and metadata.
     """
     return msgspec.structs.replace(
         job,
@@ -141,10 +142,10 @@
 
 
 class DoneChunk(msgspec.Struct, array_like=True):
-    """Where the results of a chunk are.
+    """Location of the results of a chunk.
 
     :param index: position in the job.
-    :param segment: the one segment that has all of them.
+    :param segment: the segment that has all of them.
     """
 
     index: int
@@ -152,11 +153,11 @@
 
 
 class FinishedJob(msgspec.Struct, kw_only=True):
-    """A job of which each item has its result; it does not change.
+    """A job whose items all have a result; it does not change any more.
 
-    :param job: the job as it was.
+    :param job: the job as it was when it finished.
     :param chunks: chunks that ran; items of all others are cancelled.
-    :param tally: what the results add up to.
+    :param tally: totals of the results.
     :param finished: seconds since the epoch.
     """
 
@@ -167,10 +168,10 @@
 
 
 class Resend(msgspec.Struct):
-    """What joins resends of one job.
+    """Record that maps resends of one request to the same job.
 
     :param job: id of the job.
-    :param digest: digest of the whole request.
+    :param digest: digest of the complete request.
     :param created: seconds since the epoch.
     """
 
@@ -182,10 +183,10 @@
 class BatchRequest(msgspec.Struct):
     """Body of a request for a new batch.
 
-    :param input_file_id: file of lines.
+    :param input_file_id: id of the input file.
     :param endpoint: path that its lines call.
     :param completion_window: for example ``24h``.
-    :param metadata: the caller's own.
+    :param metadata: metadata given by the caller.
     """
 
     input_file_id: str
--- a/src/wigeonpier/batch/pages.py
+++ b/src/wigeonpier/batch/pages.py
@@ -1,4 +1,4 @@
-"""Shows jobs and files in the published interface's words."""
+"""Converts jobs and files to objects of the published interface."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 def show_job(job: Job, claims: Iterable[Claim]) -> BatchPage:
-    """Show a job that is not finished.
+    """Convert a job that is not finished.
 
     :param job: the job.
     :param claims: claims of its chunks.
-    :returns: the page; counts are of chunks that are done.
+    :returns: the page; its counts cover the chunks that are done.
     """
     done = [claim.tally for claim in claims if claim.is_done]
     page = _make_page(job, add_tallies(done))
@@ -37,7 +37,7 @@
 
 
 def show_finished(finished: FinishedJob) -> BatchPage:
-    """Show a finished job.
+    """Convert a finished job.
 
     :param finished: the job with its results.
     :returns: the page.
@@ -57,7 +57,7 @@
 
 
 def show_file(record: FileRecord) -> FilePage:
-    """Show an uploaded file.
+    """Convert an uploaded file.
 
     :param record: the file.
     :returns: the page.
--- a/src/wigeonpier/batch/results.py
+++ b/src/wigeonpier/batch/results.py
@@ -18,7 +18,7 @@
 
 
 class ResponsePart(msgspec.Struct):
-    """What an upstream answered."""
+    """The response of an upstream to one item."""
 
     status_code: int
     request_id: str
@@ -43,8 +43,9 @@
     """Read the lines of an output or error file.
 
     :param finished: the job.
-    :param disks: reaches data folders.
-    :param succeeded: whether to read answers, or all else.
+    :param disks: client of the data folders.
+    :param succeeded: whether to read the items that succeeded, otherwise all
+        others.
     :yields: the lines of one chunk at a time.
     :raises Refusal: when no copy of a chunk can be reached.
     """
@@ -70,12 +71,12 @@
     file_id: str,
     count: int,
 ) -> Iterator[bytes]:
-    """Read an uploaded file.
+    """Read the pages of an uploaded file.
 
-    :param copies: folders that hold it.
-    :param disks: reaches data folders.
+    :param copies: incarnations of the folders that store it.
+    :param disks: client of the data folders.
     :param file_id: id of the file.
-    :param count: its pages.
+    :param count: number of its pages.
     :yields: one page at a time.
     :raises Refusal: when no copy of a page can be reached.
     """
@@ -84,7 +85,7 @@
 
 
 def name_kept_results(job: str) -> str:
-    """Name the file that keeps the record of a finished job on disks.
+    """Name the file that stores the record of a finished job on disks.
 
     :param job: id of the job.
     :returns: id of the file, which has one page.
@@ -100,8 +101,8 @@
 ) -> bytes:
     """Read one page of an uploaded file from any copy.
 
-    :param copies: folders that hold it.
-    :param disks: reaches data folders.
+    :param copies: incarnations of the folders that store it.
+    :param disks: client of the data folders.
     :param file_id: id of the file.
     :param index: position of the page.
     :returns: its bytes.
@@ -120,19 +121,19 @@
 
 
 def read_outcomes(
-    finished_segment: bytes,
+    segment_lines: bytes,
     items: int,
     name: str,
 ) -> list[Outcome]:
     """Read the outcomes of a done chunk.
 
-    :param finished_segment: sound lines of its last segment.
-    :param items: items of the chunk.
-    :param name: the chunk, for messages.
-    :returns: one outcome an item, in their order.
+    :param segment_lines: valid lines of its last segment.
+    :param items: number of items of the chunk.
+    :param name: name of the chunk for messages.
+    :returns: one outcome per item, in the order of the items.
     """
     outcomes: dict[int, Outcome] = {}
-    for record in decode_records(finished_segment):
+    for record in decode_records(segment_lines):
         if isinstance(record, Outcome):
             check_promise(
                 record.item not in outcomes,
