--- a/src/wigeonpier/local/__init__.py
+++ b/src/wigeonpier/local/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside an upstream."""
+"""The local process, which runs next to each upstream."""
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -57,20 +57,20 @@
 PROGRAM = 'wigeonpier-local'
 FAN_OUT = 4
 BODY_LIMIT = 16_000_000
-GUARDED_PATHS = ('/v1/', '/services/', '/disk/', '/peer/')
+PROTECTED_PATHS = ('/v1/', '/services/', '/disk/', '/peer/')
 MILLISECONDS = 1000
 
 
 @dataclass(slots=True)
 class LocalApp:
-    """All parts of one local process.
+    """Components of one local process.
 
-    :param parts: what both daemons have.
-    :param gate: decides what the upstream is given.
-    :param watch: tells whether the upstream is well.
+    :param parts: components that all daemons have.
+    :param gate: admission control for the upstream.
+    :param watch: monitors the health of the upstream.
     :param worker: owns chunks and runs their items.
-    :param reporter: heartbeats to entries.
-    :param server: listener for peers.
+    :param reporter: sends heartbeats to entry processes.
+    :param server: server for requests of peers.
     """
 
     parts: Parts
@@ -81,9 +81,9 @@
     server: Server
 
     def start(self) -> str:
-        """Listen, and begin to watch, beat and draw work.
+        """Start the server, the probes, the heartbeats and the batch work.
 
-        :returns: address for peers.
+        :returns: address of the server.
         """
         self.parts.address = self.server.address
         self.parts.holder.listen(self._apply_deployment)
@@ -97,18 +97,18 @@
         return self.server.address
 
     def leave(self, seconds: float) -> int:
-        """Take no new work, hand batch work over, wait for the rest.
+        """Accept no new work, release batch work, wait for online requests.
 
-        :param seconds: longest wait.
-        :returns: requests still in hand.
+        :param seconds: maximum time to wait.
+        :returns: number of requests in flight and chunks not released.
         """
         deadline = time.monotonic() + seconds
         self.parts.is_leaving = True
         self.gate.is_open = False
         self.reporter.beat()
         unreleased = self.worker.leave(seconds)
-        left = self.server.drain(max(0, deadline - time.monotonic()))
-        return left + unreleased
+        in_flight = self.server.drain(max(0, deadline - time.monotonic()))
+        return in_flight + unreleased
 
     def _apply_deployment(self, deployment: Deployment) -> None:
         service = deployment.services.get(_get_settings(self.parts).service)
@@ -138,11 +138,11 @@
     settings: LocalSettings,
     make_caller: Callable[[dict[str, str]], HttpCaller] = HttpCaller,
 ) -> LocalApp:
-    """Wire a local process.
+    """Build a local process.
 
-    :param settings: what it was told.
-    :param make_caller: makes the connections to peers and the platform.
-    :returns: the process; nothing runs yet.
+    :param settings: its settings.
+    :param make_caller: creates the client for peers and the platform.
+    :returns: the process, not started.
     """
     parts = build_parts(settings, make_caller)
     upstream = HttpCaller()
@@ -150,7 +150,7 @@
     watch = UpstreamWatch(
         upstream,
         settings.upstream,
-        lambda: _find_kind(parts),
+        lambda: _find_service_kind(parts),
     )
     reporter = Reporter(
         parts.caller,
@@ -221,7 +221,7 @@
         trace_requests('local', parts.export, parts.metrics),
         answer_errors,
         limit_bodies(BODY_LIMIT),
-        require_peer_key(parts.settings.peer_keys, GUARDED_PATHS),
+        require_peer_key(parts.settings.peer_keys, PROTECTED_PATHS),
     ]
     host, port = split_address(parts.settings.listen)
     return Server(host, port, chain_filters(filters, dispatch_to(routes)))
@@ -286,11 +286,11 @@
 def _get_settings(parts: Parts) -> LocalSettings:
     settings = parts.settings
     if not isinstance(settings, LocalSettings):
-        raise TypeError('a local process needs LocalSettings')
+        raise TypeError('settings of a local process must be LocalSettings')
     return settings
 
 
-def _find_kind(parts: Parts) -> ServiceKind:
+def _find_service_kind(parts: Parts) -> ServiceKind:
     if not parts.holder.version:
         return ServiceKind.model
     services = parts.holder.deployment.services
--- a/src/wigeonpier/local/chunks.py
+++ b/src/wigeonpier/local/chunks.py
@@ -1,4 +1,4 @@
-"""Chunks that this process owns: claimed, finished, handed over, lost."""
+"""Claims, finishes and releases the chunks that this process owns."""
 
 from __future__ import annotations
 
@@ -31,23 +31,24 @@
 
 
 def _ignore_chunk(_chunk: Chunk) -> None:
-    """Do nothing before a worker listens."""
+    """Do nothing until a handler is set."""
 
 
 def _ignore_ready() -> None:
-    """Do nothing before a worker listens."""
+    """Do nothing until a handler is set."""
 
 
 @dataclass(slots=True)
 class OwnedChunks:
-    """Owns chunks.
+    """The chunks that this process owns.
 
-    :param context: what owners of chunks use; made anew by configuration.
-    :param chunks: chunks in work.
+    :param context: services and limits that owners of chunks share; replaced
+        when the configuration changes.
+    :param chunks: owned chunks by job and index.
     :param claiming: chunks that are being claimed.
-    :param cancelled_jobs: jobs that are known to be cancelled.
-    :param is_open: false once the process leaves.
-    :param on_ready: called when a chunk is ready to run.
+    :param cancelled_jobs: ids of jobs that are known to be cancelled.
+    :param is_open: false once the process is leaving.
+    :param on_ready: called after each claim, when a chunk may be ready to run.
     :param on_drop: called with a chunk whose runs have to stop.
     """
 
@@ -60,23 +61,23 @@
     on_drop: Callable[[Chunk], None] = _ignore_chunk
 
     def list_owned_jobs(self) -> tuple[str, ...]:
-        """List jobs of whose chunks this process owns some.
+        """List the jobs of the owned chunks.
 
         :returns: ids of jobs.
         """
         return tuple(sorted({job for job, _index in self.chunks}))
 
     def count_ready(self) -> int:
-        """Count the items that could start.
+        """Count the items that are ready to start.
 
-        :returns: items at hand.
+        :returns: number of items.
         """
         return sum(len(chunk.ready) for chunk in self.chunks.values())
 
     def claim_offers(self, offers: tuple[Offer, ...]) -> None:
-        """Claim offered chunks.
+        """Claim chunks that an entry process offers.
 
-        :param offers: chunks from an entry.
+        :param offers: the offers.
         """
         for offer in offers:
             key = (offer.job.id, offer.chunk)
@@ -85,9 +86,9 @@
                 gevent.spawn(self._claim, offer)
 
     def stop_jobs(self, jobs: tuple[str, ...]) -> None:
-        """Stop work on cancelled jobs at once.
+        """Stop the items of cancelled jobs at once and release their chunks.
 
-        Their chunks are taken over by an entry, which writes the results.
+        An entry process takes the chunks over and writes the results.
 
         :param jobs: ids of jobs.
         """
@@ -98,7 +99,7 @@
                 gevent.spawn(chunk.release_claim)
 
     def drop(self, chunk: Chunk) -> None:
-        """Own a chunk no more; nothing of it may run or be written.
+        """Stop all work on a chunk and write nothing more to its journal.
 
         :param chunk: the chunk.
         """
@@ -108,10 +109,10 @@
         chunk.journal.close()
 
     def release_after_fault(self, chunk: Chunk, problem: str) -> None:
-        """Give a chunk to another owner after a fault here.
+        """Release a chunk to another owner after an error in this process.
 
         :param chunk: the chunk.
-        :param problem: what happened, for the log.
+        :param problem: description of the error for the log.
         """
         log_event(Event.chunk_failed, chunk=chunk.name, problem=problem)
         if self.owns(chunk):
@@ -119,15 +120,15 @@
             chunk.release_claim()
 
     def owns(self, chunk: Chunk) -> bool:
-        """Tell whether a chunk is in work here.
+        """Check whether this process owns a chunk.
 
         :param chunk: the chunk.
-        :returns: whether it is.
+        :returns: whether it does.
         """
         return self.chunks.get(_get_key(chunk)) is chunk
 
     def finish_if_settled(self, chunk: Chunk) -> None:
-        """Make the results of a chunk readable once it has all of them.
+        """Mark a chunk as done if all of its items have results.
 
         :param chunk: the chunk.
         """
@@ -136,7 +137,7 @@
         self.chunks.pop(_get_key(chunk))
         pause = FINISH_RETRY_SECONDS
         while not _finish_once(chunk):
-            # The journal goes on to show that the owner lives meanwhile.
+            # Meanwhile the open journal shows that the owner is alive.
             gevent.sleep(pause)
             pause = min(MAX_FINISH_RETRY_SECONDS, pause * 2)
         chunk.journal.close()
@@ -168,30 +169,30 @@
         chunk = open_chunk(self.context, job, offer.chunk, claim, revision)
         self.chunks[_get_key(chunk)] = chunk
         if job.id in self.cancelled_jobs:
-            # Its job was cancelled while it was opened.
+            # The job was cancelled while the chunk was being opened.
             self.stop_jobs((job.id,))
             return
         gevent.spawn(self._watch_journal, chunk)
         self.finish_if_settled(chunk)
 
     def _check_job(self, job: Job, index: int, revision: int) -> None:
-        """Look at the job after its chunk was claimed.
+        """Check the status of the job after its chunk was claimed.
 
-        Cancelling lists the claims after it marks the job, so that one of
-        the two sees the other.
+        Cancellation marks the job first and lists the claims afterwards, so
+        either this check sees the mark or cancellation sees the claim.
         """
         platform = self.context.platform
-        seen = platform.get(name_job(job.customer, job.id))
-        if isinstance(seen, Err):
+        read = platform.get(name_job(job.customer, job.id))
+        if isinstance(read, Err):
             raise ChunkProblemError('the job cannot be read')
-        status = _read_status(seen.ok_value)
+        status = _read_status(read.ok_value)
         if status in ENDED:
             platform.swap(name_chunk(job.id, index), None, revision)
         if status is not JobStatus.in_progress:
             raise ChunkProblemError(f'the job is {status}')
 
     def _watch_journal(self, chunk: Chunk) -> None:
-        """Let a chunk go as soon as a newer owner has it."""
+        """Drop a chunk as soon as a newer owner has claimed it."""
         while not chunk.is_lost:
             journal = chunk.journal
             journal.ended_event.wait()
@@ -203,7 +204,7 @@
                 return
             gevent.sleep(FINISH_RETRY_SECONDS)
         if self.owns(chunk):
-            # Another owner was faster while the journal went on elsewhere.
+            # Another owner claimed the chunk while its journal was moving.
             log_event(Event.chunk_lost, chunk=chunk.name)
             self.drop(chunk)
 
--- a/src/wigeonpier/local/engine.py
+++ b/src/wigeonpier/local/engine.py
@@ -1,4 +1,4 @@
-"""Runs one batch item at the upstream, as a stream that can give way."""
+"""Runs batch items at the upstream as streams that can be paused."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class RunEnd(StrEnum):
-    """How a run at the upstream ended."""
+    """Outcome of a run at the upstream."""
 
     answered = 'answered'
     stopped = 'stopped'
@@ -49,25 +49,26 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run of one batch item, perhaps with pauses.
+    """One run of one batch item, which may be paused and resumed.
 
     :param identity: id of the stream at the upstream.
     :param path: path at the upstream.
-    :param body: the request.
+    :param body: body of the request.
     :param is_stream: whether the upstream streams the answer.
-    :param started: monotonic seconds.
-    :param assembler: what came so far.
-    :param is_paused: whether the upstream may still keep its state.
+    :param started_at: monotonic seconds.
+    :param assembler: the part of the answer received so far.
+    :param is_paused: whether it was paused, so that the upstream may still
+        store its state.
     :param code: HTTP status.
-    :param answer: whole answer.
-    :param usage: tokens that it took.
+    :param answer: complete answer.
+    :param usage: tokens that it used.
     """
 
     identity: str
     path: str
     body: bytes
     is_stream: bool
-    started: float = field(default_factory=time.monotonic)
+    started_at: float = field(default_factory=time.monotonic)
     assembler: Assembler = field(default_factory=Assembler)
     is_paused: bool = False
     code: int = 0
@@ -77,12 +78,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """The upstream as batch work uses it.
+    """Runs batch items at one upstream.
 
-    :param client: connections to it.
-    :param address: ``host:port``.
-    :param gate: learns from the gaps between tokens.
-    :param metrics: numbers of this process.
+    :param client: connections to the upstream.
+    :param address: ``host:port`` of the upstream.
+    :param gate: gate that learns from the gaps between tokens.
+    :param metrics: metrics of this process.
     :param service: service that the upstream is a replica of.
     """
 
@@ -93,10 +94,10 @@
     service: str
 
     def advance(self, run: Run) -> RunEnd:
-        """Run until the answer is whole or the stream ends otherwise.
+        """Run until the answer is complete or the stream ends otherwise.
 
-        :param run: the run; keeps what came, for the next time.
-        :returns: how it ended.
+        :param run: the run; stores the partial answer for the next call.
+        :returns: how the run ended.
         """
         try:
             opened = self._open(run)
@@ -115,7 +116,7 @@
             reply.close()
 
     def stop(self, run: Run) -> None:
-        """Make a stream give way; its state is kept for a while.
+        """Pause a stream; the upstream retains its state for a while.
 
         :param run: the run.
         """
@@ -123,7 +124,7 @@
         gevent.spawn(self._cancel, run)
 
     def _cancel(self, run: Run) -> None:
-        # A cancel may overtake the request that it is for.
+        # The cancel may arrive before the request that it cancels.
         for _ in range(MAX_CANCEL_ATTEMPTS):
             called = self.client.call(
                 self.address,
@@ -155,7 +156,7 @@
     def _resume(self, run: Run) -> Result[StreamReply, CallFailure] | None:
         resume_request = {
             'delivered': len(run.assembler.parts),
-            # Nothing may have come yet that would name the kind of object.
+            # If no token has arrived yet, the object type is unknown here.
             'object': CHAT if run.path == CHAT_PATH else TEXT,
         }
         opened = self._post(
@@ -173,11 +174,11 @@
 
     def _observe_token(self, run: Run, last: float) -> None:
         if not last and len(run.assembler.parts) > 1:
-            # The first token after a pause follows none.
+            # The first token after a pause has no preceding token.
             return
         self.metrics.observe(
             'between_tokens' if last else 'first_token',
-            time.monotonic() - (last or run.started),
+            time.monotonic() - (last or run.started_at),
             service=self.service,
             work='batch',
         )
@@ -219,11 +220,11 @@
 
 
 def prepare_body(raw: bytes, is_stream: bool) -> bytes:
-    """Make an item's request one that streams and counts its tokens.
+    """Prepare the body of an item's request for the upstream.
 
-    :param raw: the request of the line.
-    :param is_stream: whether the upstream can stream it.
-    :returns: the request for the upstream.
+    :param raw: body from the input line.
+    :param is_stream: whether to request a stream with token usage.
+    :returns: body for the upstream.
     """
     if not is_stream:
         return raw
--- a/src/wigeonpier/local/gate.py
+++ b/src/wigeonpier/local/gate.py
@@ -1,4 +1,4 @@
-"""The gate before one upstream: it alone sees all that is given to it."""
+"""Admission control for one upstream; all of its work passes through it."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 
 def _ignore_stop() -> None:
-    """Do nothing for a run that cannot be stopped, or has not started."""
+    """Do nothing for a run that cannot be stopped or has not started."""
 
 
 @dataclass(slots=True, eq=False)
 class BatchStream:
     """A batch item at the upstream.
 
-    :param slack: seconds that its job has to spare.
+    :param slack: seconds until the deadline of its job.
     :param is_one_run: whether it may not be stopped and run again.
-    :param stop: makes it give way; called at most once.
-    :param is_stopped: whether it was told to.
+    :param stop: pauses the run; called at most once per admission.
+    :param is_stopped: whether it was requested to stop.
     """
 
     slack: float
@@ -47,11 +47,16 @@
 class Gate:
     """Counts what runs at the upstream and decides what may start.
 
-    :param target_seconds: most time between tokens for 95 in 100.
-    :param producing: streams of which tokens come now.
-    :param kind: how batch work is let in.
-    :param batch_streams: most batch streams where that is fixed.
-    :param is_open: false once the process leaves.
+    :param target_seconds: target for the 95th percentile of the time between
+        tokens.
+    :param kind: how batch work is admitted.
+    :param batch_streams: maximum number of batch streams where it is fixed.
+    :param is_open: false once the process is leaving.
+    :param online: number of online requests at the upstream.
+    :param batch: batch streams at the upstream.
+    :param model: learned time of a step by number of streams.
+    :param room_event: set when a batch stream may be able to start.
+    :param producing: number of streams that currently produce tokens.
     """
 
     target_seconds: float = TARGET_SECONDS
@@ -67,25 +72,25 @@
 
     @property
     def slots(self) -> int:
-        """Give the streams that fit within the target, as learned."""
+        """Return how many streams meet the target, as learned."""
         if self.kind is not GateKind.learned:
             return policy.MOST_SLOTS
         return policy.count_slots(self.model, self.target_seconds)
 
     @property
     def running(self) -> int:
-        """Count all streams at the upstream."""
+        """Return the number of streams at the upstream."""
         return self.online + len(self.batch)
 
     @property
     def waiting(self) -> int:
-        """Count online requests that wait here."""
+        """Return the number of online requests that wait for a slot."""
         return len(self._waiting)
 
     def get_occupancy(self) -> policy.Occupancy:
-        """Describe what runs and waits.
+        """Count the running streams and waiting requests.
 
-        :returns: counts for the policy.
+        :returns: counts for the admission policy.
         """
         return policy.Occupancy(
             online=self.online,
@@ -96,11 +101,11 @@
 
     @contextmanager
     def hold_online(self, deadline: float) -> Iterator[None]:
-        """Take a slot for an online request, before any batch work.
+        """Hold a slot for an online request, with priority over batch work.
 
-        :param deadline: monotonic seconds at which it is given up.
+        :param deadline: monotonic seconds until which to wait for the slot.
         :yields: while the slot is held.
-        :raises Refusal: when it cannot start in time; it did not run.
+        :raises Refusal: when no slot is free in time; it did not run.
         """
         self._preempt_batch(1)
         if self._waiting or not policy.may_admit_online(
@@ -116,7 +121,7 @@
             self._admit_next()
 
     def add_batch(self, stream: BatchStream) -> None:
-        """Count a batch stream that :meth:`may_start_batch` let in.
+        """Add a batch stream that :meth:`may_start_batch` admitted.
 
         :param stream: the stream.
         """
@@ -129,16 +134,16 @@
         self.batch.add(stream)
 
     def remove_batch(self, stream: BatchStream) -> None:
-        """Give the slot of a batch stream back.
+        """Release the slot of a batch stream.
 
-        :param stream: the stream; nothing happens where it holds none.
+        :param stream: the stream; nothing happens if it holds no slot.
         """
         if stream in self.batch:
             self.batch.remove(stream)
             self._admit_next()
 
     def may_start_batch(self, *, is_one_run: bool = False) -> bool:
-        """Tell whether one more batch stream may start now.
+        """Check whether one more batch stream may start now.
 
         :param is_one_run: whether it may not be stopped and run again.
         :returns: whether it may.
@@ -154,9 +159,9 @@
         )
 
     def watch_tokens(self) -> TokenWatch:
-        """Watch the tokens of one stream.
+        """Measure the gaps between the tokens of one stream.
 
-        :returns: the watch; it ends with its block.
+        :returns: a context manager to enter while the stream is read.
         """
         return TokenWatch(self)
 
@@ -208,13 +213,12 @@
 class TokenWatch:
     """Measures the gaps between the tokens of one stream.
 
-    Only streams that produce tokens count towards a step's time; one that
-    is on its way to the upstream does not yet, one that was stopped not any
-    more.
+    Only streams that produce tokens affect the time of a step, so a stream
+    counts from its first token until its end.
 
-    :param gate: learns from the gaps.
-    :param last: when the last token came, 0 before the first.
-    :param others: streams that produced then.
+    :param gate: gate whose model learns from the gaps.
+    :param last: monotonic seconds of the last token, 0 before the first.
+    :param others: number of streams that produced tokens at that time.
     """
 
     gate: Gate
@@ -222,16 +226,16 @@
     others: int = 0
 
     def __enter__(self) -> TokenWatch:
-        """Begin to watch."""
+        """Start measuring."""
         return self
 
     def __exit__(self, *_details: object) -> None:
-        """Count the stream no more."""
+        """Remove the stream from the producing streams."""
         if self.last:
             self.gate.producing -= 1
 
     def record_token(self) -> None:
-        """Take in that a token came."""
+        """Record that a token arrived."""
         now = time.monotonic()
         gate = self.gate
         if self.last:
--- a/src/wigeonpier/local/main.py
+++ b/src/wigeonpier/local/main.py
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Run a local process until it is told to stop.
+    """Run a local process until it is stopped.
 
     :returns: exit status.
     """
--- a/src/wigeonpier/local/online.py
+++ b/src/wigeonpier/local/online.py
@@ -1,4 +1,4 @@
-"""Passes online requests through the gate to the upstream."""
+"""Forwards online requests through the gate to the upstream."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlinePath:
-    """What the online path of a local process is made of.
+    """Components of the online path of a local process.
 
     :param gate: decides when a request starts.
     :param client: connections to the upstream.
     :param upstream: ``host:port`` of the upstream.
-    :param metrics: numbers of this process.
+    :param metrics: metrics of this process.
     :param service: service that the upstream is a replica of.
-    :param suspects: watches for requests that end the upstream.
+    :param suspects: tracks requests that may crash the upstream.
     """
 
     gate: Gate
@@ -52,10 +52,10 @@
 
 
 def answer_online(path: OnlinePath, request: Request, target: str) -> Response:
-    """Pass one request to the upstream.
+    """Forward one request to the upstream.
 
-    :param path: parts of the way.
-    :param request: request of an entry process.
+    :param path: components of the online path.
+    :param request: request from an entry process.
     :param target: path at the upstream.
     :returns: the upstream's answer.
     :raises Refusal: when it did not run, or it is not known whether it did.
@@ -63,14 +63,14 @@
     if not path.gate.is_open:
         raise Refusal(ErrorKind.leaving, 'this upstream is leaving')
     body = request.read_body()
-    arrived = time.monotonic()
+    received_at = time.monotonic()
     timeout_ms = request.headers.get(headers.DEADLINE_MS, DEFAULT_DEADLINE_MS)
-    deadline = arrived + int(timeout_ms) / MILLISECONDS
+    deadline = received_at + int(timeout_ms) / MILLISECONDS
     with ExitStack() as resources:
         resources.enter_context(path.gate.hold_online(deadline))
         path.metrics.observe(
             'queueing',
-            time.monotonic() - arrived,
+            time.monotonic() - received_at,
             service=path.service,
             work='online',
         )
@@ -124,7 +124,7 @@
             reply.status,
             _relay(path, reply, run),
             content_type,
-            # The slot is held until the stream is sent or given up.
+            # The slot is held until the stream is sent or aborted.
             on_close=[resources.pop_all().close],
         )
     try:
--- a/src/wigeonpier/local/suspects.py
+++ b/src/wigeonpier/local/suspects.py
@@ -1,7 +1,7 @@
-"""Tells which requests were at the upstream when it ended.
+"""Records which requests were at the upstream when it crashed.
 
-All requests of the upstream come through this process, which alone sees all
-that end with it.
+All requests to the upstream pass through this process, so it sees every one
+that is lost in a crash.
 """
 
 from __future__ import annotations
@@ -24,20 +24,22 @@
     from wigeonpier.web.messages import Request
 
 NO_VERSION = frozenset(('',))
-# Requests that end together are lost within some ms; no upstream ends twice
-# within it, since it takes longer to start.
+# Requests lost in one crash fail within some milliseconds of each other, and
+# an upstream takes longer than this to start, so it cannot crash twice.
 SAME_CRASH_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class LocalSuspects:
-    """Admits requests, and learns from how their runs ended.
+    """Admits requests and records how their runs ended.
 
-    :param name: of this start of the process, for the upstream's starts.
+    :param name: unique name of this start of the process, which prefixes the
+        names of the upstream's starts.
     :param upstream: ``host:port`` of the upstream.
-    :param suspicions: what is known of suspected requests.
-    :param crash_detector: finds out whether the upstream has ended.
-    :param on_crash: called when it has, to tell others soon.
+    :param suspicions: registry of suspected requests.
+    :param crash_detector: detects whether the upstream has crashed.
+    :param on_crash: called after a crash, to notify the entries soon.
+    :param trials: running trials of suspected requests.
     """
 
     name: str
@@ -50,20 +52,21 @@
     _crashed_at: float = 0
 
     def start_run(self, request: Request, body: bytes) -> SuspectRun:
-        """Begin a run at the upstream.
+        """Start a run at the upstream.
 
-        :param request: the request of an entry.
+        :param request: the request from an entry process.
         :param body: its body.
-        :returns: the run, to be closed.
-        :raises Refusal: when it is not to be run, or not now.
+        :returns: the run, which the caller closes.
+        :raises Refusal: when it must not run, or must not run now.
         """
         return SuspectRun(self, request, body, self._admit(request, body))
 
     def record_loss(self, fingerprint: str, isolation: Company | None) -> None:
-        """Hold the end of the upstream, if it has ended, against a request.
+        """Attribute a crash of the upstream, if it crashed, to a request.
 
-        :param fingerprint: what was lost.
-        :param isolation: what it bore beside it, ``None`` for anybody.
+        :param fingerprint: fingerprint of the lost request.
+        :param isolation: isolation level of its run, ``None`` if it was not
+            suspected.
         """
         start = f'{self.name}-{self._starts}'
         if not self.crash_detector.has_ended(start, self.upstream):
@@ -84,18 +87,18 @@
         if self.suspicions.is_empty:
             return None
         fingerprint = _get_fingerprint(request, body)
-        standing = self.suspicions.judge(fingerprint, NO_VERSION)
-        if standing is Standing.free:
+        run_mode = self.suspicions.judge(fingerprint, NO_VERSION)
+        if run_mode is Standing.free:
             return None
-        if standing is Standing.refused:
+        if run_mode is Standing.refused:
             raise Refusal(
                 ErrorKind.ends_upstreams,
                 'upstreams end when they run it',
             )
-        return self._add_trial(fingerprint, standing)
+        return self._add_trial(fingerprint, run_mode)
 
-    def _add_trial(self, fingerprint: str, standing: Standing) -> Company:
-        is_alone = standing is Standing.alone
+    def _add_trial(self, fingerprint: str, run_mode: Standing) -> Company:
+        is_alone = run_mode is Standing.alone
         isolation = Company.nobody if is_alone else Company.latecomers
         now = time.monotonic()
         if self.trials.ask(fingerprint, isolation, now) is not Verdict.granted:
@@ -111,11 +114,11 @@
 class SuspectRun:
     """One run of a request at the upstream.
 
-    :param suspects: learns from it.
+    :param suspects: records how the run ends.
     :param request: the request.
     :param body: its body.
-    :param isolation: what it bears beside it, ``None`` where it is not
-        suspected.
+    :param isolation: isolation level of the run, ``None`` if the request is
+        not suspected.
     """
 
     suspects: LocalSuspects
@@ -124,19 +127,19 @@
     isolation: Company | None
 
     def record_loss(self) -> None:
-        """Learn that it was lost; the upstream may have ended with it."""
+        """Record that the run was lost, perhaps in a crash."""
         self.suspects.record_loss(
             _get_fingerprint(self.request, self.body), self.isolation
         )
 
     def record_completion(self) -> None:
-        """Learn that it came to its end."""
+        """Record that the run completed, and clear the request if suspected."""
         if not self.suspects.suspicions.is_empty:
-            name = _get_fingerprint(self.request, self.body)
-            self.suspects.suspicions.clear(name)
+            fingerprint = _get_fingerprint(self.request, self.body)
+            self.suspects.suspicions.clear(fingerprint)
 
     def close(self) -> None:
-        """Give up its place among the suspected."""
+        """Remove the run from the trials."""
         if self.isolation is not None:
             self.suspects.trials.leave(
                 _get_fingerprint(self.request, self.body)
@@ -144,12 +147,16 @@
 
 
 def _get_fingerprint(request: Request, body: bytes) -> str:
-    """Name a request by its content; the entry does so where it goes on."""
-    sent = request.headers.get(headers.FINGERPRINT)
-    if sent:
-        return sent
-    caller = request.headers.get(headers.CUSTOMER, '')
+    """Return the fingerprint of a request.
+
+    The entry sends it for a request that continues a partial answer, whose
+    body differs from the original.
+    """
+    received = request.headers.get(headers.FINGERPRINT)
+    if received:
+        return received
+    customer = request.headers.get(headers.CUSTOMER, '')
     target = request.path
     if request.query:
         target = f'{target}?{request.query}'
-    return digest_request(caller, request.method, target, body)
+    return digest_request(customer, request.method, target, body)
--- a/src/wigeonpier/local/upstream.py
+++ b/src/wigeonpier/local/upstream.py
@@ -1,4 +1,4 @@
-"""Watches the upstream beside this process."""
+"""Monitors the health and the models of the upstream."""
 
 from __future__ import annotations
 
@@ -30,20 +30,19 @@
 
 
 def _ignore_change() -> None:
-    """Do nothing before a reporter listens."""
+    """Do nothing until a handler is set."""
 
 
 @dataclass(slots=True)
 class UpstreamWatch:
-    """What is known of the upstream.
+    """Probes the upstream and stores the result.
 
-    :param client: connections to it.
-    :param address: ``host:port``.
-    :param find_kind: gives the kind of its service.
-    :param is_healthy: whether it answered last.
+    :param client: connections to the upstream.
+    :param address: ``host:port`` of the upstream.
+    :param find_kind: returns the kind of its service.
+    :param is_healthy: whether the last probe succeeded.
     :param models: models that it serves.
-    :param on_change: called when it falls ill, is well again, or serves
-        other models.
+    :param on_change: called when its health or its models change.
     """
 
     client: HttpCaller
@@ -54,13 +53,13 @@
     on_change: Callable[[], None] = _ignore_change
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start probing."""
         spawn_loop('upstream', self._run)
 
     def check(self) -> bool:
-        """Ask the upstream now.
+        """Probe the upstream now.
 
-        :returns: whether it answers.
+        :returns: whether it is healthy.
         """
         before = (self.is_healthy, self.models)
         self.is_healthy = self._probe_health() and self._fetch_models()
--- a/src/wigeonpier/local/work.py
+++ b/src/wigeonpier/local/work.py
@@ -1,4 +1,4 @@
-"""Runs items of owned chunks while the gate lets it."""
+"""Runs the items of owned chunks as far as the gate admits them."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 QUEUE_AHEAD_SECONDS = 2.0
 MIN_QUEUED_ITEMS = 4
 START_INTERVAL_SECONDS = 0.25
-HAND_OVER_POLL_SECONDS = 0.02
+RELEASE_POLL_SECONDS = 0.02
 RATE_SMOOTHING = 0.9
 FIRST_ERROR_STATUS = 400
 SERVICES = '/services/'
@@ -44,12 +44,12 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveItem:
-    """An item that runs, or is paused and waits for a slot.
+    """An item that runs, or is paused until a slot is free.
 
     :param chunk: its chunk.
     :param item: the item.
-    :param stream: its place at the gate.
-    :param resumed: set when it holds a slot again, or has to give up.
+    :param stream: its stream as the gate counts it.
+    :param resumed: set when it holds a slot again or is abandoned.
     """
 
     chunk: Chunk
@@ -58,26 +58,26 @@
     resumed: Signal = field(default_factory=Signal)
 
     def stop(self) -> None:
-        """Make the run end, with its state kept for a while."""
+        """Stop the run; the upstream retains its state for a while."""
         if not self.stream.is_stopped:
             self.stream.is_stopped = True
             self.stream.stop()
 
 
 def _ignore_queue_low() -> None:
-    """Do nothing before a reporter listens."""
+    """Do nothing until a handler is set."""
 
 
 @dataclass(slots=True)
 class Worker:
-    """Runs the items of the stock.
+    """Runs the items of the owned chunks.
 
     :param gate: decides what may start.
-    :param engine: the upstream.
-    :param watch: tells whether the upstream is well.
+    :param engine: runs items at the upstream.
+    :param watch: monitors the health of the upstream.
     :param stock: chunks that this process owns.
-    :param metrics: numbers of this process.
-    :param on_queue_low: called when work at hand runs out.
+    :param metrics: metrics of this process.
+    :param on_queue_low: called when the last ready item of a chunk starts.
     """
 
     gate: Gate
@@ -92,17 +92,17 @@
     _completed_items: int = 0
 
     def start(self) -> None:
-        """Begin to run items."""
+        """Start running items."""
         self.stock.on_ready = self.gate.room_event.set
         self.stock.on_drop = self._stop_chunk
         spawn_loop('pump', self._start_items)
         spawn_loop('rate', self._measure_rate)
 
     def count_wanted(self) -> int:
-        """Tell how many more items are wanted at hand.
+        """Compute how many more items to request.
 
-        :returns: items; none while the gate has no room or the upstream is
-            not well.
+        :returns: number of items; 0 while the gate has no room, the upstream
+            is unhealthy, or chunks are being claimed.
         """
         if not self.stock.is_open or self.stock.claiming:
             return 0
@@ -117,25 +117,27 @@
         return max(0, wanted - self.stock.count_ready())
 
     def leave(self, seconds: float) -> int:
-        """Hand all chunks over: stop items that may stop, await others.
+        """Release all chunks so that other processes can take them over.
 
-        :param seconds: longest wait.
-        :returns: chunks that could not be handed over in time.
+        Items that may run again are stopped; the others finish first.
+
+        :param seconds: maximum time to wait.
+        :returns: number of chunks that were not released in time.
         """
         self.stock.is_open = False
         chunks = list(self.stock.chunks.values())
         gevent.joinall(
-            [gevent.spawn(self._hand_over, chunk) for chunk in chunks],
+            [gevent.spawn(self._release_chunk, chunk) for chunk in chunks],
             timeout=seconds,
         )
         return len(self.stock.chunks)
 
-    def _hand_over(self, chunk: Chunk) -> None:
+    def _release_chunk(self, chunk: Chunk) -> None:
         chunk.ready.clear()
         chunk.suspects.clear()
         self._stop_chunk(chunk, spare_run_once=True)
         while any(active.chunk is chunk for active in self._running):
-            gevent.sleep(HAND_OVER_POLL_SECONDS)
+            gevent.sleep(RELEASE_POLL_SECONDS)
         if self.stock.owns(chunk):
             self.stock.drop(chunk)
             chunk.release_claim()
@@ -198,12 +200,13 @@
         try:
             self._run_item(active, alone)
         except JournalEndedError:
-            # A newer owner goes on; nothing more may be done here.
+            # The chunk may have a newer owner, so nothing more is written.
             active.chunk.is_lost = True
         except BrokenPromiseError:
             raise
         except Exception:
-            # The item would be waited for in vain; another owner goes on.
+            # The chunk would wait for this item forever, so another owner
+            # has to take it over.
             self.stock.release_after_fault(active.chunk, traceback.format_exc())
         finally:
             self.gate.remove_batch(active.stream)
@@ -214,18 +217,19 @@
     def _run_item(self, active: ActiveItem, alone: bool) -> None:
         chunk = active.chunk
         if chunk.is_lost:
-            # Its job ended after the turn was given and before it was taken.
+            # The job was cancelled between the spawn and the start of this
+            # greenlet.
             return
         check_promise(
             chunk.job.id not in self.stock.cancelled_jobs,
             Promise.cancelled_job_stops,
-            f'{chunk.name} starts an item',
+            f'{chunk.name} starts an item of a cancelled job',
         )
-        started = time.monotonic()
+        started_at = time.monotonic()
         chunk.record_start(active.item, alone=alone)
         self.metrics.observe(
             'added_latency',
-            time.monotonic() - started,
+            time.monotonic() - started_at,
             service=chunk.job.service,
             work='batch',
         )
@@ -238,7 +242,7 @@
             self._record_end(chunk, active.item, end, run)
 
     def _advance(self, active: ActiveItem, run: Run) -> RunEnd:
-        """Run an item to its end, with pauses while online work comes."""
+        """Run an item to its end; it is paused while online work preempts it."""
         while True:
             end = RunEnd.stopped
             if not active.stream.is_stopped:
@@ -247,12 +251,12 @@
                 return end
             self.gate.remove_batch(active.stream)
             active.resumed.clear()
-            paused = time.monotonic()
+            paused_at = time.monotonic()
             self._paused.append(active)
             active.resumed.wait()
             self.metrics.observe(
                 'queueing',
-                time.monotonic() - paused,
+                time.monotonic() - paused_at,
                 service=active.chunk.job.service,
                 work='batch',
             )
@@ -287,15 +291,16 @@
 
     def _make_failure_record(self, item: Item, run: Run) -> Failure | Release:
         if item.is_idempotent and not self.watch.check():
-            # The upstream is in trouble of its own; the item is not blamed.
+            # The upstream itself is unhealthy: do not count it as a failure
+            # of the item.
             return Release(item.index)
         return Failure(item.index, f'the upstream answered {run.code}')
 
     def _measure_rate(self) -> None:
         gevent.sleep(1)
-        newest = (1 - RATE_SMOOTHING) * self._completed_items
+        latest = (1 - RATE_SMOOTHING) * self._completed_items
         self._items_per_second = (
-            RATE_SMOOTHING * self._items_per_second + newest
+            RATE_SMOOTHING * self._items_per_second + latest
         )
         self._completed_items = 0
 
@@ -305,16 +310,16 @@
 
 
 def _is_run_once(chunk: Chunk, item: Item) -> bool:
-    return not item.is_idempotent or not _can_stream(chunk.job)
+    return not item.is_idempotent or not _is_streamable(chunk.job)
 
 
-def _can_stream(job: Job) -> bool:
+def _is_streamable(job: Job) -> bool:
     return job.url in {CHAT_PATH, TEXT_PATH}
 
 
 def _make_run(active: ActiveItem) -> Run:
     chunk, item = active.chunk, active.item
-    is_stream = _can_stream(chunk.job)
+    is_stream = _is_streamable(chunk.job)
     parts = (chunk.job.id, chunk.index, item.index, chunk.claim.fence)
     return Run(
         identity='-'.join(map(str, parts)),
@@ -332,13 +337,13 @@
 
 
 def _make_outcome(item: Item, run: Run) -> Outcome:
-    is_good = run.code < FIRST_ERROR_STATUS
+    is_success = run.code < FIRST_ERROR_STATUS
     return Outcome(
         item.index,
-        Status.succeeded if is_good else Status.failed,
+        Status.succeeded if is_success else Status.failed,
         item.line.custom_id,
         run.code,
         msgspec.Raw(run.answer or b'null'),
-        run.usage.usage.prompt_tokens if is_good else 0,
-        run.usage.usage.completion_tokens if is_good else 0,
+        run.usage.usage.prompt_tokens if is_success else 0,
+        run.usage.usage.completion_tokens if is_success else 0,
     )
--- a/tests/local/test_chunks.py
+++ b/tests/local/test_chunks.py
@@ -1,4 +1,4 @@
-"""Chunks that are claimed while their job is cancelled."""
+"""Tests of chunks that are claimed while their job is cancelled."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wigeonpier.local import chunks as chunks_module
 from wigeonpier.local.chunks import OwnedChunks
 
-SECONDS = 0.05
+OPEN_SECONDS = 0.05
 
 
 class StandInChunk:
-    """A chunk that is opened for a job."""
+    """Stands in for an opened chunk."""
 
     name = 'j/0'
     index = 0
@@ -23,35 +23,35 @@
     is_lost = False
 
     def __init__(self) -> None:
-        """Belong to a job."""
+        """Create a chunk of the job ``j``."""
         self.job = SimpleNamespace(id='j')
         self.journal = SimpleNamespace(
             close=lambda: None,
             ended_event=gevent.event.Event(),
             ended=None,
         )
-        self.is_given_back = False
+        self.is_released = False
 
     def release_claim(self) -> None:
-        """Note it."""
-        self.is_given_back = True
+        """Record the release."""
+        self.is_released = True
 
 
 @pytest.fixture
 def chunk(monkeypatch: pytest.MonkeyPatch) -> StandInChunk:
-    """Have claims open this chunk after a while."""
-    made = StandInChunk()
+    """Make each claim open this chunk after a delay."""
+    opened = StandInChunk()
 
-    def open_slowly(*_given: object) -> StandInChunk:
-        gevent.sleep(SECONDS)
-        return made
+    def open_slowly(*_arguments: object) -> StandInChunk:
+        gevent.sleep(OPEN_SECONDS)
+        return opened
 
     monkeypatch.setattr(
-        chunks_module, 'claim_chunk', lambda *_given: (Claim, 1)
+        chunks_module, 'claim_chunk', lambda *_arguments: (Claim, 1)
     )
     monkeypatch.setattr(chunks_module, 'open_chunk', open_slowly)
-    monkeypatch.setattr(OwnedChunks, '_check_job', lambda *_given: None)
-    return made
+    monkeypatch.setattr(OwnedChunks, '_check_job', lambda *_arguments: None)
+    return opened
 
 
 def claim(owned_chunks: OwnedChunks) -> gevent.Greenlet:
@@ -61,20 +61,20 @@
     return gevent.spawn(owned_chunks._claim, offer)
 
 
-def test_a_job_that_is_cancelled_meanwhile_is_not_run(chunk) -> None:
-    """It was dropped from the chunks here before this one was among them."""
+def test_a_job_cancelled_during_a_claim_is_not_run(chunk) -> None:
+    """The job was cancelled before its claimed chunk was in the list."""
     owned_chunks = OwnedChunks(SimpleNamespace())
     claiming = claim(owned_chunks)
-    gevent.sleep(SECONDS / 2)
+    gevent.sleep(OPEN_SECONDS / 2)
     owned_chunks.stop_jobs(('j',))
     claiming.join()
     gevent.sleep(0)
     assert not owned_chunks.chunks
     assert chunk.is_lost
-    assert chunk.is_given_back
+    assert chunk.is_released
 
 
-def test_a_job_that_goes_on_is_run(chunk) -> None:
+def test_a_job_that_is_not_cancelled_is_run(chunk) -> None:
     owned_chunks = OwnedChunks(SimpleNamespace())
     claim(owned_chunks).join()
     assert list(owned_chunks.chunks.values()) == [chunk]
--- a/tests/local/test_engine.py
+++ b/tests/local/test_engine.py
@@ -1,4 +1,4 @@
-"""Runs of batch items that give way and go on."""
+"""Tests of batch runs that are paused and resumed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from wigeonpier.web.client import HttpCaller
 
 MODEL = 'm'
-LENGTH = 12
+ANSWER_TOKENS = 12
 SHAPE = EngineShape(step_seconds=0.02, prefill_per_token=0.05)
 
 
@@ -33,24 +33,24 @@
 
 
 def _make_run(prompt: str) -> Run:
-    body = msgspec.json.encode(make_chat(MODEL, prompt, LENGTH))
+    body = msgspec.json.encode(make_chat(MODEL, prompt, ANSWER_TOKENS))
     return Run(
         'batch-1', '/v1/chat/completions', prepare_body(body, True), True
     )
 
 
 def _read_text(run: Run) -> str:
-    whole = msgspec.json.decode(run.answer)
-    assert whole['object'] == 'chat.completion'
-    return whole['choices'][0]['message']['content']
+    answer = msgspec.json.decode(run.answer)
+    assert answer['object'] == 'chat.completion'
+    return answer['choices'][0]['message']['content']
 
 
 @pytest.mark.parametrize('delivered', [0, 1, 5])
-@pytest.mark.parametrize('is_kept', [True, False])
-def test_a_run_that_gave_way_goes_on_without_losing_tokens(
+@pytest.mark.parametrize('is_state_kept', [True, False])
+def test_a_paused_run_resumes_without_losing_tokens(
     stand_in,
     delivered,
-    is_kept,
+    is_state_kept,
 ) -> None:
     engine = _make_engine(stand_in.address)
     run = _make_run('a prompt of some words')
@@ -60,23 +60,23 @@
         gevent.sleep(0.001)
     engine.stop(run)
     assert running.get() is RunEnd.stopped
-    if not is_kept:
+    if not is_state_kept:
         batcher.kept.clear()
-    made = batcher.work.tokens
+    tokens_before = batcher.work.tokens
     assert engine.advance(run) is RunEnd.answered
     assert _read_text(run) == make_answer(
-        MODEL, 'a prompt of some words', LENGTH
+        MODEL, 'a prompt of some words', ANSWER_TOKENS
     )
-    assert run.usage.usage.completion_tokens == LENGTH
-    assert batcher.work.tokens - made <= LENGTH - delivered
+    assert run.usage.usage.completion_tokens == ANSWER_TOKENS
+    assert batcher.work.tokens - tokens_before <= ANSWER_TOKENS - delivered
     page = engine.metrics.render()
     labels = '{service="s",work="batch"}'
     assert f'wigeonpier_first_token_seconds_count{labels} 1\n' in page
-    gaps = LENGTH - 1 - (delivered > 0)
+    gaps = ANSWER_TOKENS - 1 - (delivered > 0)
     assert f'wigeonpier_between_tokens_seconds_count{labels} {gaps}\n' in page
 
 
-def test_a_cancel_that_overtakes_its_request_stops_it_all_the_same(
+def test_a_cancel_that_arrives_before_its_request_stops_the_run(
     stand_in,
 ) -> None:
     engine = _make_engine(stand_in.address)
@@ -87,12 +87,12 @@
     assert running.get() is RunEnd.stopped
 
 
-def test_an_upstream_that_is_down_did_not_run_it() -> None:
+def test_a_run_at_a_down_upstream_is_not_run() -> None:
     engine = _make_engine('127.0.0.1:1')
     assert engine.advance(_make_run('a prompt')) is RunEnd.not_run
 
 
-def test_an_upstream_that_dies_midway_lost_it(stand_in) -> None:
+def test_a_run_is_lost_when_the_upstream_crashes(stand_in) -> None:
     engine = _make_engine(stand_in.address)
     running = gevent.spawn(engine.advance, _make_run('a prompt'))
     while not stand_in.batcher.work.tokens:
--- a/tests/local/test_work.py
+++ b/tests/local/test_work.py
@@ -1,4 +1,4 @@
-"""Items that start, and ends that come just then."""
+"""Tests of items that start while their job is cancelled."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 
 
 class StandInChunk:
-    """A chunk of one item that notes what begins."""
+    """Stands in for a chunk and records which items start."""
 
     name = 'j/0'
     is_settled = False
 
     def __init__(self) -> None:
-        """Belong to a job that is due in a while."""
+        """Create a chunk of a job with a distant deadline."""
         self.job = SimpleNamespace(
             id='j', deadline=2e9, service='s', url='/v1/chat/completions'
         )
         self.index = 0
         self.is_lost = False
-        self.begun: list[object] = []
+        self.started: list[object] = []
         self.journal = SimpleNamespace(close=lambda: None)
 
     def record_start(self, item: object, *, alone: bool) -> None:
-        """Note the item."""
-        self.begun.append((item, alone))
+        """Record the start of the item."""
+        self.started.append((item, alone))
 
     def release_claim(self) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
 
-def test_an_item_whose_job_ends_before_its_turn_does_not_start() -> None:
-    """Its turn was given; the end came before it could take it.
+def test_an_item_of_a_job_cancelled_before_its_start_is_not_run() -> None:
+    """The job is cancelled between the spawn and the start of the run.
 
-    Beside a busy machine a heartbeat's reply was read between the two, and the
-    promise that cancelled jobs stop was found broken.
+    On a busy machine, a heartbeat's reply was handled between the two, which
+    violated the invariant that cancelled jobs stop.
     """
     chunk = StandInChunk()
     owned_chunks = OwnedChunks(SimpleNamespace())
@@ -54,6 +54,6 @@
     before = violations[Promise.cancelled_job_stops]
     gevent.sleep(0.05)
     assert violations[Promise.cancelled_job_stops] == before
-    assert not chunk.begun
+    assert not chunk.started
     assert not worker._running
     assert not worker.gate.batch
