--- a/tests/batch/test_takeover_machine.py
+++ b/tests/batch/test_takeover_machine.py
@@ -221,8 +221,8 @@
         self.running[position].add(item.index)
 
     @precondition(lambda self: any(self.running))
-    @rule(pick=st.integers(0, 9), end=st.sampled_from(('good', 'lost')))
-    def end_item(self, pick: int, end: str) -> None:
+    @rule(pick=st.integers(0, 9), result=st.sampled_from(('good', 'lost')))
+    def end_item(self, pick: int, result: str) -> None:
         """An owner's item ends with an answer, or its upstream is lost."""
         positions = [
             position for position, items in enumerate(self.running) if items
@@ -234,7 +234,7 @@
         if chunk.is_lost:
             return
         try:
-            if end == 'good':
+            if result == 'good':
                 body = msgspec.Raw(b'"owner %d"' % position)
                 chunk.write(
                     Outcome(
