--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 
 from wigeonpier.batch.chunk import Workshop
+from wigeonpier.local.chunks import OwnedChunks
 from wigeonpier.local.engine import Engine
 from wigeonpier.local.gate import Gate
 from wigeonpier.local.online import OnlinePath, answer_online
-from wigeonpier.local.stock import Stock
 from wigeonpier.local.suspects import LocalSuspects
 from wigeonpier.local.upstream import UpstreamWatch
 from wigeonpier.local.work import Worker
@@ -57,20 +57,20 @@
 PROGRAM = 'wigeonpier-local'
 FAN_OUT = 4
 BODY_LIMIT = 16_000_000
-GUARDED_PATHS = ('/v1/', '/services/', '/disk/', '/peer/')
+PROTECTED_PATHS = ('/v1/', '/services/', '/disk/', '/peer/')
 MILLISECONDS = 1000
 
 
 @dataclass(slots=True)
 class LocalApp:
-    """All parts of one local process.
+    """Components of one local process.
 
-    :param parts: what both daemons have.
-    :param gate: decides what the upstream is given.
-    :param watch: tells whether the upstream is well.
+    :param parts: components that all daemons have.
+    :param gate: admission control for the upstream.
+    :param watch: monitors the health of the upstream.
     :param worker: owns chunks and runs their items.
-    :param reporter: heartbeats to entries.
-    :param server: listener for peers.
+    :param reporter: sends heartbeats to entry processes.
+    :param server: server for requests of peers.
     """
 
     parts: Parts
@@ -81,56 +81,56 @@
     server: Server
 
     def start(self) -> str:
-        """Listen, and begin to watch, beat and draw work.
+        """Start the server, the probes, the heartbeats and the batch work.
 
-        :returns: address for peers.
+        :returns: address of the server.
         """
         self.parts.address = self.server.address
-        self.parts.holder.listen(self._use)
+        self.parts.holder.listen(self._apply_deployment)
         self.watch.start()
         self.watch.on_change = self.reporter.hurry
-        self.worker.on_low = self.reporter.hurry
+        self.worker.on_queue_low = self.reporter.hurry
         self.worker.start()
-        self.reporter.on_reply = self._take_reply
+        self.reporter.on_reply = self._handle_reply
         self.reporter.start()
         self.server.start()
         return self.server.address
 
     def leave(self, seconds: float) -> int:
-        """Take no new work, hand batch work over, wait for the rest.
+        """Accept no new work, release batch work, wait for online requests.
 
-        :param seconds: longest wait.
-        :returns: requests still in hand.
+        :param seconds: maximum time to wait.
+        :returns: number of requests in flight and chunks not released.
         """
-        give_up = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         self.parts.is_leaving = True
         self.gate.is_open = False
         self.reporter.beat()
-        kept = self.worker.leave(seconds)
-        left = self.server.drain(max(0, give_up - time.monotonic()))
-        return left + kept
+        unreleased = self.worker.leave(seconds)
+        in_flight = self.server.drain(max(0, deadline - time.monotonic()))
+        return in_flight + unreleased
 
-    def _use(self, deployment: Deployment) -> None:
+    def _apply_deployment(self, deployment: Deployment) -> None:
         service = deployment.services.get(_get_settings(self.parts).service)
         if service is not None:
             self.gate.target_seconds = service.between_tokens_ms / MILLISECONDS
             self.gate.kind = service.gate
             self.gate.batch_streams = service.batch_streams
         batch = deployment.batch
-        self.worker.stock.workshop = Workshop(
+        self.worker.stock.context = Workshop(
             platform=self.parts.platform,
-            disks=self.worker.stock.workshop.disks,
-            list_disks=self.worker.stock.workshop.list_disks,
-            is_gone=self.worker.stock.workshop.is_gone,
+            disks=self.worker.stock.context.disks,
+            list_disks=self.worker.stock.context.list_disks,
+            is_gone=self.worker.stock.context.is_gone,
             owner=self.parts.settings.name,
             copies=batch.copies,
             least_copies=batch.least_copies,
             bounds=Bounds(batch.attempts, batch.lone_losses),
         )
 
-    def _take_reply(self, reply: HeartbeatReply) -> None:
-        self.worker.stock.take_offers(reply.offers)
-        self.worker.stock.drop_jobs(reply.stopped)
+    def _handle_reply(self, reply: HeartbeatReply) -> None:
+        self.worker.stock.claim_offers(reply.offers)
+        self.worker.stock.stop_jobs(reply.stopped)
         self.parts.suspicions.merge(reply.suspicions)
 
 
@@ -138,11 +138,11 @@
     settings: LocalSettings,
     make_caller: Callable[[dict[str, str]], HttpCaller] = HttpCaller,
 ) -> LocalApp:
-    """Wire a local process.
+    """Build a local process.
 
-    :param settings: what it was told.
-    :param make_caller: makes the connections to peers and the platform.
-    :returns: the process; nothing runs yet.
+    :param settings: its settings.
+    :param make_caller: creates the client for peers and the platform.
+    :returns: the process, not started.
     """
     parts = build_parts(settings, make_caller)
     upstream = HttpCaller()
@@ -150,14 +150,14 @@
     watch = UpstreamWatch(
         upstream,
         settings.upstream,
-        lambda: _find_kind(parts),
+        lambda: _find_service_kind(parts),
     )
     reporter = Reporter(
         parts.caller,
         parts.holder,
         settings.entries,
         FAN_OUT,
-        lambda: _describe(parts, gate, watch, worker),
+        lambda: _make_heartbeat(parts, gate, watch, worker),
         parts.platform.list_vms,
     )
     worker = Worker(
@@ -170,7 +170,7 @@
             settings.service,
         ),
         watch,
-        Stock(_make_workshop(parts, reporter)),
+        OwnedChunks(_make_chunk_context(parts, reporter)),
         parts.metrics,
     )
     path = OnlinePath(
@@ -221,13 +221,13 @@
         trace_requests('local', parts.export, parts.metrics),
         answer_errors,
         limit_bodies(BODY_LIMIT),
-        require_peer_key(parts.settings.peer_keys, GUARDED_PATHS),
+        require_peer_key(parts.settings.peer_keys, PROTECTED_PATHS),
     ]
     host, port = split_address(parts.settings.listen)
     return Server(host, port, chain_filters(filters, dispatch_to(routes)))
 
 
-def _make_workshop(parts: Parts, reporter: Reporter) -> Workshop:
+def _make_chunk_context(parts: Parts, reporter: Reporter) -> Workshop:
     def list_disks() -> list[Disk]:
         return [
             Disk(
@@ -254,7 +254,7 @@
     )
 
 
-def _describe(
+def _make_heartbeat(
     parts: Parts,
     gate: Gate,
     watch: UpstreamWatch,
@@ -274,11 +274,11 @@
             slots=gate.slots,
             online=gate.online + gate.waiting,
             batch=len(gate.batch),
-            is_well=watch.is_well,
+            is_well=watch.is_healthy,
         ),
         disk=parts.report_disk(),
         wants=worker.count_wanted(),
-        held=worker.stock.list_held(),
+        held=worker.stock.list_owned_jobs(),
         suspicions=parts.suspicions.summarize(),
     )
 
@@ -286,11 +286,11 @@
 def _get_settings(parts: Parts) -> LocalSettings:
     settings = parts.settings
     if not isinstance(settings, LocalSettings):
-        raise TypeError('a local process needs LocalSettings')
+        raise TypeError('settings of a local process must be LocalSettings')
     return settings
 
 
-def _find_kind(parts: Parts) -> ServiceKind:
+def _find_service_kind(parts: Parts) -> ServiceKind:
     if not parts.holder.version:
         return ServiceKind.model
     services = parts.holder.deployment.services
--- a/src/wigeonpier/local/stock.py
+++ b/src/wigeonpier/local/chunks.py
@@ -1,4 +1,4 @@
-"""Chunks that this process owns: claimed, finished, handed over, lost."""
+"""Claims, finishes and releases the chunks that this process owns."""
 
 from __future__ import annotations
 
@@ -24,59 +24,60 @@
     from wigeonpier.membership.messages import Offer
     from wigeonpier.platform.port import Entry
 
-FINISH_GAP_SECONDS = 1.0
-LONGEST_FINISH_GAP_SECONDS = 10.0
+FINISH_RETRY_SECONDS = 1.0
+MAX_FINISH_RETRY_SECONDS = 10.0
 
 ChunkKey = tuple[str, int]
 
 
 def _ignore_chunk(_chunk: Chunk) -> None:
-    """Do nothing before a worker listens."""
+    """Do nothing until a handler is set."""
 
 
-def _ignore_news() -> None:
-    """Do nothing before a worker listens."""
+def _ignore_ready() -> None:
+    """Do nothing until a handler is set."""
 
 
 @dataclass(slots=True)
-class Stock:
-    """Owns chunks.
+class OwnedChunks:
+    """The chunks that this process owns.
 
-    :param workshop: what owners of chunks use; made anew by configuration.
-    :param chunks: chunks in work.
+    :param context: services and limits that owners of chunks share; replaced
+        when the configuration changes.
+    :param chunks: owned chunks by job and index.
     :param claiming: chunks that are being claimed.
-    :param stopped: jobs that are known to be cancelled.
-    :param is_open: false once the process leaves.
-    :param on_new: called when a chunk is ready to run.
+    :param cancelled_jobs: ids of jobs that are known to be cancelled.
+    :param is_open: false once the process is leaving.
+    :param on_ready: called after each claim, when a chunk may be ready to run.
     :param on_drop: called with a chunk whose runs have to stop.
     """
 
-    workshop: Workshop
+    context: Workshop
     chunks: dict[ChunkKey, Chunk] = field(default_factory=dict)
     claiming: set[ChunkKey] = field(default_factory=set)
-    stopped: set[str] = field(default_factory=set)
+    cancelled_jobs: set[str] = field(default_factory=set)
     is_open: bool = True
-    on_new: Callable[[], None] = _ignore_news
+    on_ready: Callable[[], None] = _ignore_ready
     on_drop: Callable[[Chunk], None] = _ignore_chunk
 
-    def list_held(self) -> tuple[str, ...]:
-        """List jobs of whose chunks this process owns some.
+    def list_owned_jobs(self) -> tuple[str, ...]:
+        """List the jobs of the owned chunks.
 
         :returns: ids of jobs.
         """
         return tuple(sorted({job for job, _index in self.chunks}))
 
     def count_ready(self) -> int:
-        """Count the items that could start.
+        """Count the items that are ready to start.
 
-        :returns: items at hand.
+        :returns: number of items.
         """
         return sum(len(chunk.ready) for chunk in self.chunks.values())
 
-    def take_offers(self, offers: tuple[Offer, ...]) -> None:
-        """Claim offered chunks.
+    def claim_offers(self, offers: tuple[Offer, ...]) -> None:
+        """Claim chunks that an entry process offers.
 
-        :param offers: chunks from an entry.
+        :param offers: the offers.
         """
         for offer in offers:
             key = (offer.job.id, offer.chunk)
@@ -84,21 +85,21 @@
                 self.claiming.add(key)
                 gevent.spawn(self._claim, offer)
 
-    def drop_jobs(self, jobs: tuple[str, ...]) -> None:
-        """Stop work on cancelled jobs at once.
+    def stop_jobs(self, jobs: tuple[str, ...]) -> None:
+        """Stop the items of cancelled jobs at once and release their chunks.
 
-        Their chunks are taken over by an entry, which writes the results.
+        An entry process takes the chunks over and writes the results.
 
         :param jobs: ids of jobs.
         """
-        self.stopped.update(jobs)
+        self.cancelled_jobs.update(jobs)
         for chunk in list(self.chunks.values()):
             if chunk.job.id in jobs:
-                self.let_go(chunk)
-                gevent.spawn(chunk.give_back)
+                self.drop(chunk)
+                gevent.spawn(chunk.release_claim)
 
-    def let_go(self, chunk: Chunk) -> None:
-        """Own a chunk no more; nothing of it may run or be written.
+    def drop(self, chunk: Chunk) -> None:
+        """Stop all work on a chunk and write nothing more to its journal.
 
         :param chunk: the chunk.
         """
@@ -107,38 +108,38 @@
         self.on_drop(chunk)
         chunk.journal.close()
 
-    def hand_back(self, chunk: Chunk, problem: str) -> None:
-        """Give a chunk to another owner after a fault here.
+    def release_after_fault(self, chunk: Chunk, problem: str) -> None:
+        """Release a chunk to another owner after an error in this process.
 
         :param chunk: the chunk.
-        :param problem: what happened, for the log.
+        :param problem: description of the error for the log.
         """
         log_event(Event.chunk_failed, chunk=chunk.name, problem=problem)
         if self.owns(chunk):
-            self.let_go(chunk)
-            chunk.give_back()
+            self.drop(chunk)
+            chunk.release_claim()
 
     def owns(self, chunk: Chunk) -> bool:
-        """Tell whether a chunk is in work here.
+        """Check whether this process owns a chunk.
 
         :param chunk: the chunk.
-        :returns: whether it is.
+        :returns: whether it does.
         """
         return self.chunks.get(_get_key(chunk)) is chunk
 
     def finish_if_settled(self, chunk: Chunk) -> None:
-        """Make the results of a chunk readable once it has all of them.
+        """Mark a chunk as done if all of its items have results.
 
         :param chunk: the chunk.
         """
         if not self.owns(chunk) or not chunk.is_settled:
             return
         self.chunks.pop(_get_key(chunk))
-        pause = FINISH_GAP_SECONDS
-        while not _try_to_finish(chunk):
-            # The journal goes on to show that the owner lives meanwhile.
+        pause = FINISH_RETRY_SECONDS
+        while not _finish_once(chunk):
+            # Meanwhile the open journal shows that the owner is alive.
             gevent.sleep(pause)
-            pause = min(LONGEST_FINISH_GAP_SECONDS, pause * 2)
+            pause = min(MAX_FINISH_RETRY_SECONDS, pause * 2)
         chunk.journal.close()
 
     def _claim(self, offer: Offer) -> None:
@@ -153,62 +154,62 @@
             )
         finally:
             self.claiming.discard((offer.job.id, offer.chunk))
-        self.on_new()
+        self.on_ready()
 
     def _claim_or_fail(self, offer: Offer) -> None:
         job = offer.job
         claim, revision = claim_chunk(
-            self.workshop,
+            self.context,
             job,
             offer.chunk,
             offer.claim,
             offer.revision,
         )
         self._check_job(job, offer.chunk, revision)
-        chunk = open_chunk(self.workshop, job, offer.chunk, claim, revision)
+        chunk = open_chunk(self.context, job, offer.chunk, claim, revision)
         self.chunks[_get_key(chunk)] = chunk
-        if job.id in self.stopped:
-            # Its job was cancelled while it was opened.
-            self.drop_jobs((job.id,))
+        if job.id in self.cancelled_jobs:
+            # The job was cancelled while the chunk was being opened.
+            self.stop_jobs((job.id,))
             return
         gevent.spawn(self._watch_journal, chunk)
         self.finish_if_settled(chunk)
 
     def _check_job(self, job: Job, index: int, revision: int) -> None:
-        """Look at the job after its chunk was claimed.
+        """Check the status of the job after its chunk was claimed.
 
-        Cancelling lists the claims after it marks the job, so that one of
-        the two sees the other.
+        Cancellation marks the job first and lists the claims afterwards, so
+        either this check sees the mark or cancellation sees the claim.
         """
-        platform = self.workshop.platform
-        seen = platform.get(name_job(job.customer, job.id))
-        if isinstance(seen, Err):
+        platform = self.context.platform
+        read = platform.get(name_job(job.customer, job.id))
+        if isinstance(read, Err):
             raise ChunkProblemError('the job cannot be read')
-        status = _read_status(seen.ok_value)
+        status = _read_status(read.ok_value)
         if status in ENDED:
             platform.swap(name_chunk(job.id, index), None, revision)
         if status is not JobStatus.in_progress:
             raise ChunkProblemError(f'the job is {status}')
 
     def _watch_journal(self, chunk: Chunk) -> None:
-        """Let a chunk go as soon as a newer owner has it."""
+        """Drop a chunk as soon as a newer owner has claimed it."""
         while not chunk.is_lost:
             journal = chunk.journal
-            journal.on_end.wait()
+            journal.ended_event.wait()
             ended = journal.ended
             if ended and ended.end is JournalEnd.fenced:
                 log_event(Event.chunk_lost, chunk=chunk.name)
-                self.let_go(chunk)
+                self.drop(chunk)
             if not self.owns(chunk):
                 return
-            gevent.sleep(FINISH_GAP_SECONDS)
+            gevent.sleep(FINISH_RETRY_SECONDS)
         if self.owns(chunk):
-            # Another owner was faster while the journal went on elsewhere.
+            # Another owner claimed the chunk while its journal was moving.
             log_event(Event.chunk_lost, chunk=chunk.name)
-            self.let_go(chunk)
+            self.drop(chunk)
 
 
-def _try_to_finish(chunk: Chunk) -> bool:
+def _finish_once(chunk: Chunk) -> bool:
     finished = chunk.finish()
     if isinstance(finished, Ok):
         log_event(Event.chunk_done, chunk=chunk.name)
--- a/src/wigeonpier/local/engine.py
+++ b/src/wigeonpier/local/engine.py
@@ -1,4 +1,4 @@
-"""Runs one batch item at the upstream, as a stream that can give way."""
+"""Runs batch items at the upstream as streams that can be paused."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     from wigeonpier.telemetry.metrics import Metrics
     from wigeonpier.web.client import HttpCaller, StreamReply
 
-SILENCE_SECONDS = 60.0
-CANCEL_SECONDS = 2.0
-CANCEL_TRIES = 10
-CANCEL_GAP_SECONDS = 0.02
+READ_TIMEOUT_SECONDS = 60.0
+CANCEL_TIMEOUT_SECONDS = 2.0
+MAX_CANCEL_ATTEMPTS = 10
+CANCEL_INTERVAL_SECONDS = 0.02
 FIRST_ERROR_STATUS = 400
 NOT_FOUND = 404
 SERVER_ERROR = 500
@@ -38,7 +38,7 @@
 
 
 class RunEnd(StrEnum):
-    """How a run at the upstream ended."""
+    """Outcome of a run at the upstream."""
 
     answered = 'answered'
     stopped = 'stopped'
@@ -49,25 +49,26 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run of one batch item, perhaps with pauses.
+    """One run of one batch item, which may be paused and resumed.
 
     :param identity: id of the stream at the upstream.
     :param path: path at the upstream.
-    :param body: the request.
+    :param body: body of the request.
     :param is_stream: whether the upstream streams the answer.
-    :param started: monotonic seconds.
-    :param assembler: what came so far.
-    :param is_paused: whether the upstream may still keep its state.
+    :param started_at: monotonic seconds.
+    :param assembler: the part of the answer received so far.
+    :param is_paused: whether it was paused, so that the upstream may still
+        store its state.
     :param code: HTTP status.
-    :param answer: whole answer.
-    :param usage: tokens that it took.
+    :param answer: complete answer.
+    :param usage: tokens that it used.
     """
 
     identity: str
     path: str
     body: bytes
     is_stream: bool
-    started: float = field(default_factory=time.monotonic)
+    started_at: float = field(default_factory=time.monotonic)
     assembler: Assembler = field(default_factory=Assembler)
     is_paused: bool = False
     code: int = 0
@@ -77,26 +78,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """The upstream as batch work uses it.
+    """Runs batch items at one upstream.
 
-    :param caller: connections to it.
-    :param address: ``host:port``.
-    :param gate: learns from the gaps between tokens.
-    :param metrics: numbers of this process.
+    :param client: connections to the upstream.
+    :param address: ``host:port`` of the upstream.
+    :param gate: gate that learns from the gaps between tokens.
+    :param metrics: metrics of this process.
     :param service: service that the upstream is a replica of.
     """
 
-    caller: HttpCaller
+    client: HttpCaller
     address: str
     gate: Gate
     metrics: Metrics
     service: str
 
     def advance(self, run: Run) -> RunEnd:
-        """Run until the answer is whole or the stream ends otherwise.
+        """Run until the answer is complete or the stream ends otherwise.
 
-        :param run: the run; keeps what came, for the next time.
-        :returns: how it ended.
+        :param run: the run; stores the partial answer for the next call.
+        :returns: how the run ended.
         """
         try:
             opened = self._open(run)
@@ -115,7 +116,7 @@
             reply.close()
 
     def stop(self, run: Run) -> None:
-        """Make a stream give way; its state is kept for a while.
+        """Pause a stream; the upstream retains its state for a while.
 
         :param run: the run.
         """
@@ -123,19 +124,19 @@
         gevent.spawn(self._cancel, run)
 
     def _cancel(self, run: Run) -> None:
-        # A cancel may overtake the request that it is for.
-        for _ in range(CANCEL_TRIES):
-            called = self.caller.call(
+        # The cancel may arrive before the request that it cancels.
+        for _ in range(MAX_CANCEL_ATTEMPTS):
+            called = self.client.call(
                 self.address,
                 'POST',
                 f'/v1/streams/{run.identity}/cancel',
-                patience=CANCEL_SECONDS,
+                patience=CANCEL_TIMEOUT_SECONDS,
             )
             if isinstance(called, Err) or not run.is_paused:
                 return
             if called.ok_value.decode(_Cancelled).cancelled:
                 return
-            gevent.sleep(CANCEL_GAP_SECONDS)
+            gevent.sleep(CANCEL_INTERVAL_SECONDS)
 
     def _open(self, run: Run) -> Result[StreamReply, CallFailure]:
         if run.is_paused:
@@ -153,14 +154,14 @@
         return self._post(run.path, body, run.identity)
 
     def _resume(self, run: Run) -> Result[StreamReply, CallFailure] | None:
-        asked = {
+        resume_request = {
             'delivered': len(run.assembler.parts),
-            # Nothing may have come yet that would name the kind of object.
+            # If no token has arrived yet, the object type is unknown here.
             'object': CHAT if run.path == CHAT_PATH else TEXT,
         }
         opened = self._post(
             f'/v1/streams/{run.identity}/resume',
-            msgspec.json.encode(asked),
+            msgspec.json.encode(resume_request),
             run.identity,
         )
         if isinstance(opened, Err):
@@ -171,13 +172,13 @@
             return None
         return opened
 
-    def _note_token(self, run: Run, last: float) -> None:
+    def _observe_token(self, run: Run, last: float) -> None:
         if not last and len(run.assembler.parts) > 1:
-            # The first token after a pause follows none.
+            # The first token after a pause has no preceding token.
             return
         self.metrics.observe(
             'between_tokens' if last else 'first_token',
-            time.monotonic() - (last or run.started),
+            time.monotonic() - (last or run.started_at),
             service=self.service,
             work='batch',
         )
@@ -188,7 +189,7 @@
         body: bytes,
         identity: str,
     ) -> Result[StreamReply, CallFailure]:
-        return self.caller.open(
+        return self.client.open(
             self.address,
             'POST',
             path,
@@ -197,19 +198,19 @@
                 'content-type': JSON_TYPE,
                 headers.REQUEST_ID: identity,
             },
-            patience=SILENCE_SECONDS,
+            patience=READ_TIMEOUT_SECONDS,
         )
 
     def _read(self, run: Run, reply: StreamReply) -> RunEnd:
         run.code = reply.status
         content_type = reply.get_header('content-type')
         if not content_type.startswith(EVENT_STREAM_TYPE):
-            return _read_whole(run, reply)
+            return _read_response(run, reply)
         with self.gate.watch_tokens() as watch:
             for line in reply.iterate_lines():
                 if run.assembler.feed(line):
-                    self._note_token(run, watch.last)
-                    watch.note_token()
+                    self._observe_token(run, watch.last)
+                    watch.record_token()
         if not run.assembler.is_whole:
             return RunEnd.stopped if run.is_paused else RunEnd.lost
         run.answer = msgspec.json.encode(run.assembler.make_body())
@@ -219,11 +220,11 @@
 
 
 def prepare_body(raw: bytes, is_stream: bool) -> bytes:
-    """Make an item's request one that streams and counts its tokens.
+    """Prepare the body of an item's request for the upstream.
 
-    :param raw: the request of the line.
-    :param is_stream: whether the upstream can stream it.
-    :returns: the request for the upstream.
+    :param raw: body from the input line.
+    :param is_stream: whether to request a stream with token usage.
+    :returns: body for the upstream.
     """
     if not is_stream:
         return raw
@@ -233,7 +234,7 @@
     return msgspec.json.encode(body)
 
 
-def _read_whole(run: Run, reply: StreamReply) -> RunEnd:
+def _read_response(run: Run, reply: StreamReply) -> RunEnd:
     run.answer = reply.read()
     if reply.status == TOO_MANY:
         return RunEnd.not_run
