--- a/src/wigeonpier/platform/calls.py
+++ b/src/wigeonpier/platform/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the key-value service, by the direct way or carried by others."""
+"""Calls to the key-value service, sent directly or through a relay."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     from wigeonpier.web.pool import ConnectionPool
 
 UNAVAILABLE = 503
-TURNED_AWAY = frozenset((429, UNAVAILABLE))
+REJECTED_STATUSES = frozenset((429, UNAVAILABLE))
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call as it goes on the wire.
+    """One HTTP call of the key-value service.
 
     :param method: HTTP method.
     :param target: path with query.
@@ -45,7 +45,7 @@
 
     @property
     def name(self) -> str:
-        """Give the path without query and ids."""
+        """Return the path without query and ids."""
         return '/'.join(self.target.partition('?')[0].split('/')[:3])
 
 
@@ -55,12 +55,12 @@
     query: dict[str, Any],
     body: object = None,
 ) -> Call:
-    """Write a call.
+    """Build a call.
 
     :param method: HTTP method.
     :param path: path of the service.
-    :param query: names and values.
-    :param body: what is encoded as its body, ``None`` for an empty one.
+    :param query: names and values of the query.
+    :param body: value to encode as JSON, ``None`` for an empty body.
     :returns: the call.
     """
     target = f'{path}?{urlencode(query)}' if query else path
@@ -69,7 +69,11 @@
 
 
 class StoreCalls:
-    """Sends calls, and tells what became of those on the direct way."""
+    """Sends calls, and reports the outcomes of those that are sent directly.
+
+    ``on_outcome`` is called after each direct call.  ``find_detour`` gives the
+    relay to use while the service is unreachable, ``None`` for no relay.
+    """
 
     def __init__(
         self,
@@ -77,65 +81,70 @@
         address: str,
         metrics: Metrics,
     ) -> None:
-        """Call the service at ``host:port``."""
+        """Create a sender without a relay.
+
+        :param pool: connections to other processes.
+        :param address: ``host:port`` of the service.
+        :param metrics: counts and measures calls.
+        """
         self.address = address
         self.on_outcome: Callable[..., None] | None = None
         self.find_detour: Callable[[], Way | None] = lambda: None
         self._pool = pool
         self._metrics = metrics
-        # Watches that wait for their answer, by when they began.
+        # Watches in flight and their start times on the monotonic clock.
         self._watches: dict[Exchange, float] = {}
 
     def break_watches(self, since: float) -> None:
-        """Break off the watches that began after a moment.
+        """Abort the watches that were started after a moment.
 
-        One that came while the service answered nobody is never answered, and
-        whoever waits for it hears of nothing until its time is up.
+        A watch that reached the service while it answered no calls is never
+        answered, so its caller would receive no changes until the timeout.
 
-        :param since: seconds of the steady clock.
+        :param since: seconds of the monotonic clock.
         """
-        for watch, began in list(self._watches.items()):
-            if began > since:
+        for watch, started_at in list(self._watches.items()):
+            if started_at > since:
                 watch.abort()
 
-    def send(self, call: Call, patience: float) -> Result[Reply, CallFailure]:
-        """Send a call; by a detour where the service does not answer here.
+    def send(self, call: Call, timeout: float) -> Result[Reply, CallFailure]:
+        """Send a call, through a relay where the service is unreachable.
 
         :param call: the call.
-        :param patience: longest silence, seconds.
+        :param timeout: longest time without any data, seconds.
         :returns: the answer.
         """
-        detour = self.find_detour()
-        if detour is not None:
-            return self._send_by(detour, call, patience)
-        replied = self.send_directly(call, patience)
-        detour = self.find_detour() if _may_go_again(call, replied) else None
-        if detour is None:
+        relay = self.find_detour()
+        if relay is not None:
+            return self._send_by(relay, call, timeout)
+        replied = self.send_directly(call, timeout)
+        relay = self.find_detour() if _may_resend(call, replied) else None
+        if relay is None:
             return replied
-        return self._send_by(detour, call, patience)
+        return self._send_by(relay, call, timeout)
 
     def send_directly(
         self,
         call: Call,
-        patience: float,
+        timeout: float,
     ) -> Result[Reply, CallFailure]:
-        """Send a call without any detour.
+        """Send a call without a relay.
 
         :param call: the call.
-        :param patience: longest silence, seconds.
+        :param timeout: longest time without any data, seconds.
         :returns: the answer.
         """
-        began = time.monotonic()
-        replied = self._send_by(Way(self.address), call, patience)
+        started_at = time.monotonic()
+        replied = self._send_by(Way(self.address), call, timeout)
         if self.on_outcome is not None:
-            self.on_outcome(began, is_answered=_is_answered(replied))
+            self.on_outcome(started_at, is_answered=_is_answered(replied))
         return replied
 
     def _send_by(
         self,
         way: Way,
         call: Call,
-        patience: float,
+        timeout: float,
     ) -> Result[Reply, CallFailure]:
         headers = [
             ('Host', way.address),
@@ -143,9 +152,9 @@
         ]
         target = way.prefix + call.target
         raw = make_request(call.method, target, headers, call.body)
-        began = time.monotonic()
-        replied = self._call(way, call, raw, patience)
-        self._note(call, replied, time.monotonic() - began, way)
+        started_at = time.monotonic()
+        replied = self._call(way, call, raw, timeout)
+        self._record(call, replied, time.monotonic() - started_at, way)
         return replied
 
     def _call(
@@ -153,19 +162,19 @@
         way: Way,
         call: Call,
         raw: bytes,
-        patience: float,
+        timeout: float,
     ) -> Result[Reply, CallFailure]:
         if call.name != wire.WATCH_PATH:
-            return self._pool.call(way.address, raw, patience)
-        with ExitStack() as held:
+            return self._pool.call(way.address, raw, timeout)
+        with ExitStack() as cleanup:
 
-            def hold(watch: Exchange) -> None:
+            def register(watch: Exchange) -> None:
                 self._watches[watch] = time.monotonic()
-                held.callback(self._watches.pop, watch)
+                cleanup.callback(self._watches.pop, watch)
 
-            return self._pool.call(way.address, raw, patience, hold)
+            return self._pool.call(way.address, raw, timeout, register)
 
-    def _note(
+    def _record(
         self,
         call: Call,
         replied: Result[Reply, CallFailure],
@@ -194,18 +203,19 @@
 
 
 def _is_answered(replied: Result[Reply, CallFailure]) -> bool:
-    """Tell whether the service dealt with a call."""
+    """Tell whether the service processed a call."""
     if isinstance(replied, Err):
         return False
-    return replied.ok_value.status not in TURNED_AWAY
+    return replied.ok_value.status not in REJECTED_STATUSES
 
 
-def _may_go_again(call: Call, replied: Result[Reply, CallFailure]) -> bool:
-    """Tell whether a call may be sent once more.
+def _may_resend(call: Call, replied: Result[Reply, CallFailure]) -> bool:
+    """Tell whether a call may be sent again, through a relay.
 
-    Not where the service says that all together call too often, nor where a
-    write may have been done.  Nor a watch: its history may be gone as it is
-    cut, and one that went on from its revision missed a configuration.
+    Not where the service reports too many calls of all processes together,
+    and not where a write may have taken effect.  A watch is not sent again
+    either: the service may no longer have the changes since its revision, and
+    a watch that continued from there missed a configuration.
     """
     if call.name == wire.WATCH_PATH:
         return False
--- a/src/wigeonpier/platform/store.py
+++ b/src/wigeonpier/platform/store.py
@@ -38,24 +38,27 @@
     from wigeonpier.web.client import Reply
     from wigeonpier.web.pool import ConnectionPool
 
-# A slowed service answers within 0.3 s; one that takes longer is away.
+# A slow service still answers within 0.3 s; one that exceeds this time is
+# treated as unreachable.
 CALL_SECONDS = 1.2
-# A watch that waits longer than the history is kept has to begin anew.
+# A watch that waits longer than the service keeps its history has to start
+# over with a full read.
 HISTORY_SHARE = 0.75
-LONGEST_WATCH_SECONDS = 30.0
+MAX_WATCH_SECONDS = 30.0
 WATCH_SLACK_SECONDS = 2.0
-LONGEST_CALL_SECONDS = LONGEST_WATCH_SECONDS + WATCH_SLACK_SECONDS
-# What changes soon after a change is heard with it: when 28 replicas start, an
-# entry calls 8 times instead of 31; every bound on news is 2 s or more.
+LONGEST_CALL_SECONDS = MAX_WATCH_SECONDS + WATCH_SLACK_SECONDS
+# Pause before the next call of a watch, so that changes in quick succession
+# arrive in one answer: when 28 replicas start, an entry makes 8 calls instead
+# of 31.  All limits on the delay of updates are 2 s or more.
 GATHER_SECONDS = 0.2
-CONFLICT = 412
-LAPSED = 404
+PRECONDITION_FAILED = 412
+NOT_FOUND = 404
 MILLISECONDS = 1000
-NOT_DONE = frozenset((400, 403, 404, 410, 412, 429, 503))
+NOT_APPLIED_STATUSES = frozenset((400, 403, 404, 410, 412, 429, 503))
 
 
 class KeyValueStore:
-    """Calls of the key-value service, one outcome each."""
+    """Client of the key-value service; calls return a value or a failure."""
 
     def __init__(
         self,
@@ -64,9 +67,15 @@
         metrics: Metrics,
         history_seconds: float,
     ) -> None:
-        """Call the service at ``host:port``, which keeps so much history."""
+        """Create a client of the service.
+
+        :param pool: connections to other processes.
+        :param address: ``host:port`` of the service.
+        :param metrics: counts and measures calls.
+        :param history_seconds: how long the service keeps old changes.
+        """
         self._watch_seconds = min(
-            LONGEST_WATCH_SECONDS,
+            MAX_WATCH_SECONDS,
             history_seconds * HISTORY_SHARE,
         )
         self.calls = StoreCalls(pool, address, metrics)
@@ -80,23 +89,23 @@
         """Read one key.
 
         :param key: its name.
-        :param may_be_old: whether it may be seconds old, at a tenth of the
-            price.
+        :param may_be_old: whether the value may be some seconds old; such a
+            read costs a tenth of another one.
         :returns: the key, ``None`` where it does not exist.
         """
-        query = {wire.KEY: key} | _allow_old(may_be_old=may_be_old)
+        query = {wire.KEY: key} | _make_stale_query(may_be_old=may_be_old)
         replied = self._send('GET', wire.KEY_PATH, query)
         if isinstance(replied, Err):
             return Err(Failure.unavailable)
         reply = replied.ok_value
-        if reply.status == LAPSED:
+        if reply.status == NOT_FOUND:
             return Ok(None)
         if not reply.is_good:
             return Err(Failure.unavailable)
         return Ok(_make_entry(reply.decode(StoredItem)))
 
     def read_revision(self, key: str) -> Result[int, Failure]:
-        """Read when a key was changed last, and leave its value alone.
+        """Read the revision of a key without decoding its value.
 
         :param key: its name.
         :returns: the revision, 0 where the key does not exist.
@@ -105,49 +114,51 @@
         if isinstance(replied, Err):
             return Err(Failure.unavailable)
         reply = replied.ok_value
-        if reply.status == LAPSED:
+        if reply.status == NOT_FOUND:
             return Ok(0)
         if not reply.is_good:
             return Err(Failure.unavailable)
         return Ok(reply.decode(RevisionOnly).revision)
 
-    def ask_sign(self, patience: float) -> None:
-        """Ask for a sign of life, at the least cost.
+    def ask_sign(self, timeout: float) -> None:
+        """Probe whether the service answers, with the cheapest read.
+
+        The result goes to ``calls.on_outcome``.
 
-        :param patience: longest silence, seconds.
+        :param timeout: longest time without any data, seconds.
         """
         query = {wire.KEY: wire.OPERATOR_CONFIGURATION, wire.MAY_BE_OLD: 1}
         call = make_call('GET', wire.KEY_PATH, query)
-        self.calls.send_directly(call, patience)
+        self.calls.send_directly(call, timeout)
 
     def list_prefix(
         self,
         prefix: str,
-        patience: float = CALL_SECONDS,
+        timeout: float = CALL_SECONDS,
         *,
         may_be_old: bool = False,
     ) -> Result[Snapshot, Failure]:
         """Read all keys under a prefix.
 
-        Pages are not a snapshot: keys of later pages may be newer than the
-        revision that is given, which is that of the first page.
+        Pages are not a snapshot: the returned revision is that of the first
+        page, and keys of later pages may be newer.
 
         :param prefix: start of the keys.
-        :param patience: longest silence, seconds.
-        :param may_be_old: whether they may be seconds old, at a tenth of the
-            price.
-        :returns: the keys, and the revision from which a watch goes on.
+        :param timeout: longest time without any data, seconds.
+        :param may_be_old: whether the values may be some seconds old; such a
+            read costs a tenth of another one.
+        :returns: the keys, and the revision after which a watch continues.
         """
         entries: list[Entry] = []
         revision = 0
-        old = _allow_old(may_be_old=may_be_old)
-        query: dict[str, Any] = {wire.PREFIX: prefix} | old
+        stale = _make_stale_query(may_be_old=may_be_old)
+        query: dict[str, Any] = {wire.PREFIX: prefix} | stale
         while True:
             replied = self._send(
                 'GET',
                 wire.RANGE_PATH,
                 query,
-                patience=patience,
+                timeout=timeout,
             )
             if isinstance(replied, Err) or not replied.ok_value.is_good:
                 return Err(Failure.unavailable)
@@ -161,12 +172,12 @@
     def commit(
         self,
         change: Commit,
-        patience: float = CALL_SECONDS,
+        timeout: float = CALL_SECONDS,
     ) -> Result[int, Failure]:
-        """Change keys, all or none of them.
+        """Change keys atomically.
 
         :param change: conditions and changes.
-        :param patience: longest silence, seconds.
+        :param timeout: longest time without any data, seconds.
         :returns: the new revision; ``unknown`` where the answer was lost.
         """
         body = CommitBody(
@@ -185,21 +196,21 @@
             wire.COMMIT_PATH,
             {},
             body,
-            patience=patience,
+            timeout=timeout,
         )
-        return _judge(replied).map(
+        return _classify_reply(replied).map(
             lambda reply: reply.decode(Committed).revision,
         )
 
     def grant_lease(self, seconds: float) -> Result[int, Failure]:
-        """Get a lease that ends unless it is renewed.
+        """Get a lease that expires unless it is renewed.
 
-        :param seconds: its time to live.
+        :param seconds: time to live of the lease.
         :returns: its id.
         """
         body = LeaseBody(int(seconds * MILLISECONDS))
         replied = self._send('POST', wire.LEASE_PATH, {}, body)
-        return _judge(replied).map(
+        return _classify_reply(replied).map(
             lambda reply: reply.decode(GrantedLease).lease
         )
 
@@ -207,38 +218,38 @@
         """Renew a lease.
 
         :param lease: its id.
-        :returns: false where it has ended.
+        :returns: false where it has expired.
         """
         replied = self._send('POST', f'{wire.KEEP_PATH}{lease}', {}, {})
-        if isinstance(replied, Ok) and replied.ok_value.status == LAPSED:
+        if isinstance(replied, Ok) and replied.ok_value.status == NOT_FOUND:
             return Ok(False)
-        return _judge(replied).map(lambda _reply: True)
+        return _classify_reply(replied).map(lambda _reply: True)
 
     def end_lease(self, lease: int) -> Result[bool, Failure]:
-        """End a lease and remove its keys.
+        """Revoke a lease, which removes its keys.
 
         :param lease: its id.
         :returns: true where the service confirmed it.
         """
         replied = self._send('DELETE', f'{wire.END_PATH}{lease}', {})
-        return _judge(replied).map(lambda _reply: True)
+        return _classify_reply(replied).map(lambda _reply: True)
 
     def watch(self, prefix: str, revision: int) -> Iterator[Change]:
-        """Yield changes after a revision; ends when the service is lost.
+        """Yield changes after a revision until a call fails.
 
         :param prefix: start of the keys.
-        :param revision: revision that was seen last.
+        :param revision: last revision that the caller has seen.
         :yields: changes in order.
         """
         while True:
-            heard = self.await_changes(
+            received = self.await_changes(
                 prefix,
                 revision,
                 self._watch_seconds,
             )
-            if isinstance(heard, Err):
+            if isinstance(received, Err):
                 return
-            changes, revision = heard.ok_value
+            changes, revision = received.ok_value
             yield from changes
             if changes:
                 gevent.sleep(GATHER_SECONDS)
@@ -252,10 +263,11 @@
         """Wait for changes after a revision.
 
         :param prefix: start of the keys.
-        :param revision: revision that was seen last.
+        :param revision: last revision that the caller has seen.
         :param seconds: longest wait.
-        :returns: the changes, none where the time is up, and the revision
-            to go on from; a failure also where this history is gone.
+        :returns: the changes, none where there were none in time, and the
+            revision to continue from; a failure also where the service no
+            longer keeps changes since ``revision``.
         """
         query = {
             wire.PREFIX: prefix,
@@ -266,13 +278,13 @@
             'GET',
             wire.WATCH_PATH,
             query,
-            patience=seconds + WATCH_SLACK_SECONDS,
+            timeout=seconds + WATCH_SLACK_SECONDS,
         )
         if isinstance(replied, Err) or not replied.ok_value.is_good:
             return Err(Failure.unavailable)
-        heard = replied.ok_value.decode(EventPage)
-        changes = [_make_change(event) for event in heard.events]
-        return Ok((changes, heard.revision or revision))
+        received = replied.ok_value.decode(EventPage)
+        changes = [_make_change(event) for event in received.events]
+        return Ok((changes, received.revision or revision))
 
     def _send(
         self,
@@ -281,16 +293,16 @@
         query: dict[str, Any],
         body: object = None,
         *,
-        patience: float = CALL_SECONDS,
+        timeout: float = CALL_SECONDS,
     ) -> Result[Reply, CallFailure]:
-        return self.calls.send(make_call(method, path, query, body), patience)
+        return self.calls.send(make_call(method, path, query, body), timeout)
 
 
-def _allow_old(*, may_be_old: bool) -> dict[str, int]:
+def _make_stale_query(*, may_be_old: bool) -> dict[str, int]:
     return {wire.MAY_BE_OLD: 1} if may_be_old else {}
 
 
-def _judge(
+def _classify_reply(
     replied: Result[Reply, CallFailure],
 ) -> Result[Reply, Failure]:
     if isinstance(replied, Err):
@@ -299,11 +311,11 @@
     reply = replied.ok_value
     if reply.is_good:
         return Ok(reply)
-    if reply.status == CONFLICT:
+    if reply.status == PRECONDITION_FAILED:
         return Err(Failure.conflict)
-    if reply.status == LAPSED:
+    if reply.status == NOT_FOUND:
         return Err(Failure.lapsed)
-    if reply.status in NOT_DONE:
+    if reply.status in NOT_APPLIED_STATUSES:
         return Err(Failure.unavailable)
     return Err(Failure.unknown)
 
