--- a/src/wigeonpier/platform/__init__.py
+++ b/src/wigeonpier/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Ports and adapters of the platform."""
+"""Interfaces to the platform: key-value service, messages and headers."""
--- a/src/wigeonpier/platform/gateway.py
+++ b/src/wigeonpier/platform/gateway.py
@@ -1,4 +1,4 @@
-"""Adapter to the key-value service: the etcd v3 JSON gateway over HTTP."""
+"""Client of the etcd v3 JSON gateway and of the VM list, over HTTP."""
 
 from __future__ import annotations
 
@@ -84,10 +84,14 @@
 
 
 class GatewayPlatform:
-    """The platform's port over HTTP."""
+    """Implements :class:`Platform` over HTTP."""
 
     def __init__(self, caller: HttpCaller, address: str) -> None:
-        """Call the service at ``host:port``."""
+        """Create a client of the gateway.
+
+        :param caller: sends the requests.
+        :param address: ``host:port`` of the gateway.
+        """
         self._caller = caller
         self._address = address
 
@@ -101,7 +105,7 @@
 
     def list_prefix(self, prefix: str) -> Result[Snapshot, Failure]:
         """Read all keys under a prefix."""
-        return self._range(_span_prefix(prefix))
+        return self._range(_make_prefix_range(prefix))
 
     def swap(
         self,
@@ -110,7 +114,7 @@
         revision: int,
         lease: int = 0,
     ) -> Result[int, Failure]:
-        """Write a key if it still has the revision; 0 creates if absent."""
+        """Write a key if it still has the revision; 0 creates it if absent."""
         name = _encode(key.encode())
         body = {
             'compare': [
@@ -134,14 +138,14 @@
         """Delete all keys under a prefix; the value is the revision."""
         deleted = self._call(
             '/v3/kv/deleterange',
-            _span_prefix(prefix),
+            _make_prefix_range(prefix),
             _RangeReply,
             Failure.unknown,
         )
         return deleted.map(lambda reply: int(reply.header.revision))
 
     def grant_lease(self, seconds: int) -> Result[int, Failure]:
-        """Get a lease that lapses unless it is kept alive."""
+        """Get a lease that expires unless it is renewed."""
         granted = self._call(
             '/v3/lease/grant',
             {'TTL': str(seconds)},
@@ -151,18 +155,20 @@
         return granted.map(lambda reply: int(reply.identity))
 
     def keep_lease(self, lease: int) -> Result[int, Failure]:
-        """Keep a lease alive; the value is its time to live, 0 if lapsed."""
-        kept = self._call(
+        """Renew a lease; the value is its time to live, 0 if it has expired."""
+        renewed = self._call(
             '/v3/lease/keepalive',
             {'ID': str(lease)},
             _KeepReply,
             Failure.unknown,
         )
-        return kept.map(lambda reply: int(reply.result.seconds))
+        return renewed.map(lambda reply: int(reply.result.seconds))
 
     def watch(self, prefix: str, revision: int) -> Iterator[Change]:
-        """Yield changes after a revision; ends when the service is lost."""
-        create = _span_prefix(prefix) | {'start_revision': str(revision + 1)}
+        """Yield changes after a revision until the connection is lost."""
+        create = _make_prefix_range(prefix) | {
+            'start_revision': str(revision + 1)
+        }
         opened = self._caller.open(
             self._address,
             'POST',
@@ -181,7 +187,7 @@
             opened.ok_value.close()
 
     def list_vms(self) -> Result[tuple[Vm, ...], Failure]:
-        """Read the VM list, which lags behind reality."""
+        """Read the VM list, which may be out of date."""
         called = self._caller.call(
             self._address,
             'GET',
@@ -212,7 +218,7 @@
         path: str,
         body: object,
         model: type[Model],
-        when_lost: Failure,
+        failure_if_lost: Failure,
     ) -> Result[Model, Failure]:
         called = self._caller.call(
             self._address,
@@ -221,7 +227,7 @@
             msgspec.json.encode(body),
             patience=CALL_SECONDS,
         )
-        failure = _judge(called, when_lost)
+        failure = _find_failure(called, failure_if_lost)
         if failure is None:
             return Ok(called.unwrap().decode(model))
         event = (
@@ -233,19 +239,22 @@
         return Err(failure)
 
 
-def _judge(
+def _find_failure(
     called: Result[Reply, CallFailure],
-    when_lost: Failure,
+    failure_if_lost: Failure,
 ) -> Failure | None:
     if isinstance(called, Err):
         if called.err_value is CallFailure.not_sent:
             return Failure.unavailable
-        return when_lost
+        return failure_if_lost
     reply = called.ok_value
     if reply.is_good:
         return None
-    # A gateway that answers with a server error may have passed a write on.
-    return when_lost if reply.status >= SERVER_ERROR else Failure.unavailable
+    # A gateway may have forwarded a write before it answered with a server
+    # error.
+    return (
+        failure_if_lost if reply.status >= SERVER_ERROR else Failure.unavailable
+    )
 
 
 def _make_snapshot(reply: _RangeReply) -> Snapshot:
@@ -281,7 +290,7 @@
     return {'request_put': put}
 
 
-def _span_prefix(prefix: str) -> dict[str, str]:
+def _make_prefix_range(prefix: str) -> dict[str, str]:
     start = prefix.encode()
     end = start[:-1] + bytes([start[-1] + 1])
     return {'key': _encode(start), 'range_end': _encode(end)}
--- a/src/wigeonpier/platform/port.py
+++ b/src/wigeonpier/platform/port.py
@@ -1,7 +1,7 @@
-"""What the system needs of the platform, and every outcome a call can have.
+"""Interface to the platform's services, and the outcomes of their calls.
 
-A write whose answer was lost is an outcome of its own: the caller has to
-read back before it may tell anyone that the write failed.
+A write whose answer was lost has the outcome ``unknown``: the caller has to
+read the key back before it may report that the write failed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Failure(StrEnum):
-    """Why a platform call gave no value."""
+    """Why a platform call returned no value."""
 
     conflict = 'conflict'
     unavailable = 'unavailable'
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Way:
-    """A way by which calls reach the key-value service.
+    """Where calls to the key-value service are sent.
 
-    :param address: ``host:port`` that takes them.
-    :param prefix: put before the path of each call.
+    :param address: ``host:port`` of the service or of a relay.
+    :param prefix: put before the path of each call; empty for the service.
     """
 
     address: str
@@ -38,7 +38,7 @@
 
 
 class VmState(StrEnum):
-    """What the VM list says of a VM."""
+    """State of a VM in the VM list."""
 
     live = 'live'
     leaving = 'leaving'
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change that a watch saw.
+    """One change that a watch received.
 
     :param key: key that changed.
     :param value: new bytes, ``None`` where the key was deleted.
@@ -78,12 +78,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Changes of which all take effect or none.
+    """Changes that take effect together or not at all.
 
-    :param guards: revision that each key must have, 0 for absent.
+    :param guards: revision that each key must have; 0 if it must be absent.
     :param writes: new values.
     :param deletes: keys to remove.
-    :param lease: lease that the written keys end with, 0 for none.
+    :param lease: lease of the written keys, 0 for none.
     """
 
     guards: dict[str, int] = field(default_factory=dict)
@@ -97,7 +97,8 @@
     """Keys under a prefix at one revision.
 
     :param entries: the keys in order.
-    :param revision: revision at which they were read; a watch goes on after.
+    :param revision: revision at which they were read; a watch continues after
+        it.
     """
 
     entries: tuple[Entry, ...]
@@ -106,11 +107,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Vm:
-    """One VM of the platform's list.
+    """One VM of the VM list.
 
     :param name: name of the VM.
-    :param address: ``host:port`` of its process of the system.
-    :param data_centre: where it stands.
+    :param address: ``host:port`` of the process on the VM.
+    :param data_centre: data centre of the VM.
     :param state: live or leaving.
     """
 
@@ -121,17 +122,17 @@
 
 
 class WatchedStore(Protocol):
-    """What a view of keys needs of a key-value service."""
+    """The calls of a key-value service that a view of keys uses."""
 
     def list_prefix(self, prefix: str) -> Result[Snapshot, Failure]:
         """Read all keys under a prefix."""
 
     def watch(self, prefix: str, revision: int) -> Iterator[Change]:
-        """Yield changes after a revision; ends when the service is lost."""
+        """Yield changes after a revision until the service is unreachable."""
 
 
 class Platform(Protocol):
-    """The narrow port to the platform's services."""
+    """Interface to the platform's services."""
 
     def get(self, key: str) -> Result[Entry | None, Failure]:
         """Read one key."""
@@ -155,13 +156,13 @@
         """Delete all keys under a prefix; the value is the revision."""
 
     def grant_lease(self, seconds: int) -> Result[int, Failure]:
-        """Get a lease that lapses unless it is kept alive."""
+        """Get a lease that expires unless it is renewed."""
 
     def keep_lease(self, lease: int) -> Result[int, Failure]:
-        """Keep a lease alive; the value is its time to live, 0 if lapsed."""
+        """Renew a lease; the value is its time to live, 0 if it has expired."""
 
     def watch(self, prefix: str, revision: int) -> Iterator[Change]:
-        """Yield changes after a revision; ends when the service is lost."""
+        """Yield changes after a revision until the service is unreachable."""
 
     def list_vms(self) -> Result[tuple[Vm, ...], Failure]:
-        """Read the VM list, which lags behind reality."""
+        """Read the VM list, which may be out of date."""
