--- a/src/wigeonpier/platform/certain.py
+++ b/src/wigeonpier/platform/certain.py
@@ -1,4 +1,4 @@
-"""Compare-and-swap whose outcome is found out when the answer is lost."""
+"""Compare-and-swap that determines its outcome when an answer is lost."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
     from wigeonpier.platform.port import Entry, Platform
 
-FIRST_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 2.0
+INITIAL_PAUSE_SECONDS = 0.05
+MAX_PAUSE_SECONDS = 2.0
 
 
 def swap_certainly(
@@ -24,51 +24,55 @@
     key: str,
     value: bytes,
     revision: int,
-    is_mine: Callable[[Entry], bool],
-    patience: float,
+    is_own: Callable[[Entry], bool],
+    timeout: float,
 ) -> Result[int, Failure]:
-    """Write a key and find out whether it took effect.
+    """Write a key and confirm whether the write took effect.
 
-    The same write is repeated: it can take effect once only, since it names
-    the revision that it replaces.  A conflict after a lost answer may be
-    one's own write, which is looked for.
+    The same write is repeated: it can take effect only once, since it names
+    the revision that it replaces.  A conflict after a lost answer may come
+    from this caller's own write, so the key is read back.
 
     :param platform: the port.
     :param key: what to write.
     :param value: its bytes.
     :param revision: revision that it replaces, 0 to create.
-    :param is_mine: knows one's own write again.
-    :param patience: longest time, seconds.
+    :param is_own: tells whether an entry is this caller's own write.
+    :param timeout: longest time for all attempts, seconds.
     :returns: the new revision; ``conflict`` when another write won,
-        ``unavailable`` when it certainly did not take effect, ``unknown``
-        when that could not be found out in time.
+        ``unavailable`` when the write certainly did not take effect,
+        ``unknown`` when its outcome could not be determined in time.
     """
-    give_up = time.monotonic() + patience
-    pause = FIRST_PAUSE_SECONDS
-    may_stand = False
-    while time.monotonic() + pause < give_up:
+    deadline = time.monotonic() + timeout
+    pause = INITIAL_PAUSE_SECONDS
+    is_uncertain = False
+    while time.monotonic() + pause < deadline:
         wrote = platform.swap(key, value, revision)
         if isinstance(wrote, Ok):
             return wrote
-        may_stand = may_stand or wrote.err_value is Failure.unknown
+        is_uncertain = is_uncertain or wrote.err_value is Failure.unknown
         if wrote.err_value is Failure.conflict:
-            found = _find_mine(platform, key, is_mine) if may_stand else wrote
+            found = (
+                _find_own_write(platform, key, is_own)
+                if is_uncertain
+                else wrote
+            )
             if found is not None:
                 return found
         gevent.sleep(pause)
-        pause = min(LONGEST_PAUSE_SECONDS, pause * 2)
-    return Err(Failure.unknown if may_stand else Failure.unavailable)
+        pause = min(MAX_PAUSE_SECONDS, pause * 2)
+    return Err(Failure.unknown if is_uncertain else Failure.unavailable)
 
 
-def _find_mine(
+def _find_own_write(
     platform: Platform,
     key: str,
-    is_mine: Callable[[Entry], bool],
+    is_own: Callable[[Entry], bool],
 ) -> Result[int, Failure] | None:
     read = platform.get(key)
     if isinstance(read, Err):
         return None
     entry = read.ok_value
-    if entry is not None and is_mine(entry):
+    if entry is not None and is_own(entry):
         return Ok(entry.revision)
     return Err(Failure.conflict)
