--- a/src/wigeonpier/platform/ingress.py
+++ b/src/wigeonpier/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Requests and answers of callers and upstreams, as the platform frames them."""
+"""Headers and paths of requests and answers, as the platform defines them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 ITEM_PATTERN = f'{wire.ITEM_PATH}([^/]+)'
 RETRY_AFTER = wire.RETRY_AFTER
 MILLISECONDS = 1000
-MOST_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 MISDIRECTED = 421
 FIRST_ERROR_STATUS = 300
-# Headers of the caller's that each send sets anew or leaves out.
-OWN_HEADERS = HOP_HEADERS | {
+# Headers of the caller that each send replaces or leaves out.
+REPLACED_HEADERS = HOP_HEADERS | {
     wire.DEADLINE_MS.lower(),
     wire.RESUME_AFTER.lower(),
     wire.EXPECTED_INSTANCE.lower(),
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QuestionHead:
-    """What the headers of a question say.
+    """What the headers of an online request say.
 
     :param identity: id of the caller's attempt.
     :param host: host that the caller named, lower case.
-    :param seconds: how long the caller waits, ``None`` where it says not.
+    :param seconds: how long the caller waits, ``None`` where not stated.
     :param prompt_parts: ids of the parts of the prompt, shared ones first.
     :param resume_after: last event that the caller has, or empty.
     """
@@ -53,12 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """What one send of a question adds to the caller's headers.
+    """What one send of a request adds to the caller's headers.
 
-    :param instance: id of the upstream that is meant.
+    :param instance: id of the upstream that has to answer.
     :param seconds: how long the upstream may work.
     :param resume_after: last event that the caller has, or empty.
-    :param customer: who asks, empty where nobody needs a key.
+    :param customer: name of the customer, empty where no key is needed.
     """
 
     instance: str
@@ -68,10 +68,10 @@
 
 
 def read_question(request: Request) -> QuestionHead:
-    """Read the headers of a question.
+    """Read the headers of an online request.
 
-    :param request: the caller's.
-    :returns: what they say.
+    :param request: the caller's request.
+    :returns: the values of its headers.
     """
     found = request.headers
     deadline = found.get(wire.DEADLINE_MS.lower(), '')
@@ -91,16 +91,16 @@
     received: dict[str, str],
     send: Send,
 ) -> list[tuple[str, str]]:
-    """List the headers with which a question goes to an upstream.
+    """List the headers of an online request for an upstream.
 
-    :param received: the caller's, by lower-case name.
+    :param received: the caller's headers, by lower-case name.
     :param send: what this send adds.
     :returns: names and values.
     """
     listed = [
         (name.title(), value)
         for name, value in received.items()
-        if name not in OWN_HEADERS
+        if name not in REPLACED_HEADERS
     ]
     milliseconds = max(1, int(send.seconds * MILLISECONDS))
     listed.append((wire.DEADLINE_MS, str(milliseconds)))
@@ -112,21 +112,21 @@
     item: JobItem,
     send: Send,
 ) -> list[tuple[str, str]]:
-    """List the headers with which an item goes to an upstream.
+    """List the headers of a batch item for an upstream.
 
     :param host: host of the item's route.
     :param item: the item.
     :param send: what this send adds; an item has no deadline.
     :returns: names and values.
     """
-    own = {name.lower() for name in item.headers}
+    given = {name.lower() for name in item.headers}
     listed = list(item.headers.items())
-    if 'host' not in own:
+    if 'host' not in given:
         listed.append(('Host', host))
     listed = [
         pair
         for pair in listed
-        if pair[0].lower() not in OWN_HEADERS
+        if pair[0].lower() not in REPLACED_HEADERS
         and pair[0].lower() != wire.REQUEST_ID.lower()
     ]
     listed.append((wire.REQUEST_ID, item.name))
@@ -134,10 +134,10 @@
 
 
 def has_not_run(answer: Exchange) -> bool:
-    """Tell whether the upstream says that it did not run the request.
+    """Tell whether the upstream reports that it did not run the request.
 
     :param answer: its answer.
-    :returns: true only where it says so.
+    :returns: true only where it reports so.
     """
     if answer.status == MISDIRECTED:
         return True
@@ -145,11 +145,11 @@
 
 
 def is_own_answer(answer: Exchange, identity: str) -> bool:
-    """Tell whether an answer is the upstream's, to this very request.
+    """Tell whether the upstream itself answered this request.
 
-    :param answer: what came.
+    :param answer: the answer received.
     :param identity: id that was sent.
-    :returns: false for another request's answer, or an unsigned one.
+    :returns: false for the answer to another request, or an unsigned one.
     """
     return answer.get_header(wire.REQUEST_ID) == identity and bool(
         answer.get_header(wire.SIGNATURE),
@@ -157,18 +157,18 @@
 
 
 def is_success(answer: Exchange) -> bool:
-    """Tell whether the status is one of success.
+    """Tell whether an answer has a status of success.
 
-    :param answer: what came.
+    :param answer: the answer received.
     :returns: true for 2xx.
     """
     return answer.status < FIRST_ERROR_STATUS
 
 
 def get_load(answer: Exchange) -> str:
-    """Read the load that comes with an answer.
+    """Read the load header of an answer.
 
-    :param answer: what came.
+    :param answer: the answer received.
     :returns: value of the header, empty where it is absent.
     """
     return answer.get_header(wire.LOAD)
@@ -177,25 +177,25 @@
 def get_instance(answer: Exchange) -> str:
     """Read which instance answered.
 
-    :param answer: what came.
+    :param answer: the answer received.
     :returns: its id, empty where it is absent.
     """
     return answer.get_header(wire.INSTANCE)
 
 
 def read_wait(request: Request) -> float:
-    """Read how long a reader may be kept waiting.
+    """Read the longest wait that the caller of a read allows.
 
-    :param request: the caller's.
-    :returns: seconds.
+    :param request: the caller's request.
+    :returns: seconds, at most ``MAX_WAIT_SECONDS``.
     """
     text = request.headers.get(wire.WAIT_MS.lower(), '')
     seconds = int(text) / MILLISECONDS if text.isdigit() else 0
-    return min(seconds, MOST_WAIT_SECONDS)
+    return min(seconds, MAX_WAIT_SECONDS)
 
 
 def take_key(request: Request) -> str:
-    """Take the caller's key out of a request, so that it goes nowhere else.
+    """Remove the caller's key from a request, so that it is not forwarded.
 
     :param request: changed in place.
     :returns: the key, empty where there is none.
--- a/src/wigeonpier/platform/jobbodies.py
+++ b/src/wigeonpier/platform/jobbodies.py
@@ -1,4 +1,4 @@
-"""Bodies of the calls of batch jobs, as the platform writes them."""
+"""Bodies of the calls for batch jobs, as the platform defines them."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 
 def decode_items(raw: bytes) -> list[JobItem]:
-    """Read the items of a job.
+    """Decode the items of a job.
 
     :param raw: the body.
     :returns: the items.
-    :raises ValueError: when it is no job.
+    :raises ValueError: when the body is no job.
     """
     job = msgspec.json.decode(raw, type=_Job)
     try:
@@ -67,7 +67,7 @@
     following: int,
     results: Iterable[ItemResult],
 ) -> bytes:
-    """Write a page of results.
+    """Encode a page of results.
 
     :param total: items of the job.
     :param following: position after the last result of the page.
@@ -86,7 +86,7 @@
 
 
 def _drop_key(headers: dict[str, str]) -> dict[str, str]:
-    """Leave the key out of what is kept of an item."""
+    """Leave the caller's key out of the stored headers of an item."""
     return {
         name: text
         for name, text in headers.items()
--- a/src/wigeonpier/platform/operator.py
+++ b/src/wigeonpier/platform/operator.py
@@ -1,4 +1,4 @@
-"""What the operator writes to the store."""
+"""The operator's configuration and orders in the store."""
 
 from __future__ import annotations
 
@@ -44,14 +44,14 @@
     service: str = ''
     split: list[_Share] = []
     timeout_ms: float = msgspec.field(name='timeoutMs', default=0)
-    aim_ms: float = msgspec.field(name='targetLatencyMs', default=0)
+    objective_ms: float = msgspec.field(name='targetLatencyMs', default=0)
     attempts: int = msgspec.field(name='maxAttempts', default=1)
     resumable: bool = False
     priority: int = 0
-    run_aim_ms: float = msgspec.field(name='runAimMs', default=0)
+    run_objective_ms: float = msgspec.field(name='runAimMs', default=0)
     retention_s: float = msgspec.field(name='retentionS', default=0)
-    # On a route of batch work this counts tokens that may wait.
-    most: int = msgspec.field(name='maxCount', default=0)
+    # On a batch route: the maximum number of waiting tokens.
+    token_limit: int = msgspec.field(name='maxCount', default=0)
     allows_anonymous: bool = msgspec.field(
         name='allowAnonymous',
         default=False,
@@ -78,11 +78,11 @@
 
 
 def decode_configuration(raw: bytes) -> ServedConfiguration:
-    """Read a configuration of the operator.
+    """Decode the operator's configuration.
 
     :param raw: value of its key.
     :returns: the configuration.
-    :raises msgspec.DecodeError: when it is none.
+    :raises msgspec.DecodeError: when it is no configuration.
     """
     found = msgspec.json.decode(raw, type=_Configuration)
     return ServedConfiguration(
@@ -90,12 +90,12 @@
         tuple(_make_route(route) for route in found.routes),
         found.limits.body_bytes,
         None if found.tenants is None else _list_customers(found.tenants),
-        tuple(_list_oddities(found.tenants or [])),
+        tuple(_list_warnings(found.tenants or [])),
     )
 
 
 def encode_configuration(configuration: ServedConfiguration) -> bytes:
-    """Write a configuration as the operator does, for stand-ins.
+    """Encode a configuration as the operator does, for stand-ins.
 
     :param configuration: the configuration.
     :returns: value of its key.
@@ -109,13 +109,13 @@
             name=route.name,
             split=[_Share(*share) for share in route.services],
             timeout_ms=route.timeout * MILLISECONDS,
-            aim_ms=route.objective * MILLISECONDS,
+            objective_ms=route.objective * MILLISECONDS,
             attempts=route.tries,
             resumable=route.is_resumable,
             priority=route.priority,
-            run_aim_ms=route.run_objective * MILLISECONDS,
+            run_objective_ms=route.run_objective * MILLISECONDS,
             retention_s=route.retention,
-            most=route.most_tokens,
+            token_limit=route.most_tokens,
             allows_anonymous=route.is_open,
         )
         for route in configuration.routes
@@ -131,7 +131,7 @@
 
 
 def name_retire_state(order: str) -> str:
-    """Name the key that tells how far an order to empty a VM is.
+    """Name the key with the state of an order to empty a VM.
 
     :param order: key of the order.
     :returns: key of its state.
@@ -140,7 +140,7 @@
 
 
 def encode_retired() -> bytes:
-    """Say that a VM holds nothing any more.
+    """Encode the state of an order whose VM is empty.
 
     :returns: value of the state's key.
     """
@@ -156,13 +156,13 @@
         kind=KINDS.get(route.kind, RouteKind.once),
         services=tuple(services or [(route.service, 1.0)]),
         timeout=route.timeout_ms / MILLISECONDS,
-        objective=route.aim_ms / MILLISECONDS,
+        objective=route.objective_ms / MILLISECONDS,
         tries=route.attempts,
         is_resumable=route.resumable,
         priority=route.priority,
-        run_objective=route.run_aim_ms / MILLISECONDS,
+        run_objective=route.run_objective_ms / MILLISECONDS,
         retention=route.retention_s,
-        most_tokens=route.most,
+        most_tokens=route.token_limit,
         is_open=route.allows_anonymous,
     )
 
@@ -170,8 +170,8 @@
 def _list_customers(tenants: list[_Tenant]) -> dict[str, ServedCustomer]:
     """Make the table of customers by key.
 
-    Of two owners of a key the first counts, and who has no name has none: an
-    upstream could not be told whose its request is.
+    Of two owners of a key the first one counts.  Keys of a customer without a
+    name are left out, since a request could not name it to the upstream.
     """
     customers: dict[str, ServedCustomer] = {}
     for tenant in filter(_get_name, tenants):
@@ -186,8 +186,8 @@
     return customers
 
 
-def _list_oddities(tenants: list[_Tenant]) -> Iterator[str]:
-    """Tell what cannot be meant, without any key."""
+def _list_warnings(tenants: list[_Tenant]) -> Iterator[str]:
+    """List mistakes in the list of customers, without naming any key."""
     owners: dict[str, str] = {}
     names: set[str] = set()
     for position, tenant in enumerate(tenants):
--- a/src/wigeonpier/platform/register.py
+++ b/src/wigeonpier/platform/register.py
@@ -1,4 +1,4 @@
-"""The replicas' register in the store, and what replicas say of themselves."""
+"""The register of replicas in the store, and the load reports of replicas."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from wigeonpier.platform import wire
 
 REGISTER = wire.REGISTER
-LOAD_FIELDS = 2
-LARGEST_PORT = 65_535
+MIN_LOAD_FIELDS = 2
+MAX_PORT = 65_535
 
 
 class _State(StrEnum):
@@ -20,10 +20,10 @@
 
 
 class _Entry(msgspec.Struct):
-    """An entry as the platform documents it, whole and of these types.
+    """An entry as the platform documents it, with all fields and types.
 
-    Other writers put entries there as well; what is not all of this names no
-    replica.
+    Other programs write entries there as well; one that lacks a field or has
+    another type is not a replica.
     """
 
     service: str
@@ -34,7 +34,7 @@
     state: _State
     sequence: int
     cold_left_ms: float = msgspec.field(name='coldLeftMs')
-    # Unix millisecond of the replica's start; some deployments lack it.
+    # Unix millisecond of the replica's start; some deployments omit it.
     born: int = 0
 
 
@@ -47,7 +47,7 @@
 
 
 class ForeignEntryError(ValueError):
-    """An entry of the register names no replica."""
+    """An entry of the register does not describe a replica."""
 
 
 def decode_replica(key: str, raw: bytes) -> Replica:
@@ -56,7 +56,7 @@
     :param key: its key, which holds the id.
     :param raw: its value.
     :returns: the replica.
-    :raises ForeignEntryError: when it names none.
+    :raises ForeignEntryError: when it does not describe a replica.
     """
     try:
         found = msgspec.json.decode(raw, type=_Entry)
@@ -79,7 +79,7 @@
 
 
 def encode_replica(replica: Replica) -> bytes:
-    """Write an entry as a replica does, for stand-ins.
+    """Encode an entry as a replica does, for stand-ins.
 
     :param replica: the replica.
     :returns: value of its key.
@@ -100,9 +100,9 @@
 
 
 def encode_report(report: UpstreamReport) -> bytes:
-    """Write a report as a replica does, for stand-ins.
+    """Encode a load report as a replica does, for stand-ins.
 
-    :param report: its load.
+    :param report: the load.
     :returns: body of the answer.
     """
     return msgspec.json.encode(
@@ -125,11 +125,11 @@
 
 
 def decode_report(raw: bytes) -> UpstreamReport:
-    """Read what an upstream reports of itself.
+    """Decode the load report of an upstream.
 
     :param raw: body of its answer.
     :returns: the report.
-    :raises msgspec.DecodeError: when it is none.
+    :raises msgspec.DecodeError: when it is no report.
     """
     found = msgspec.json.decode(raw, type=_Report)
     return UpstreamReport(
@@ -141,13 +141,15 @@
 
 
 def parse_load(text: str) -> UpstreamReport | None:
-    """Read the load that comes with an answer.
+    """Parse the load header of an answer.
 
     :param text: value of the header.
-    :returns: the load, ``None`` where there is none.
+    :returns: the load, ``None`` where the header is absent or invalid.
     """
     parts = text.split(',')
-    if len(parts) < LOAD_FIELDS or not all(part.isdigit() for part in parts):
+    if len(parts) < MIN_LOAD_FIELDS or not all(
+        part.isdigit() for part in parts
+    ):
         return None
     return UpstreamReport(int(parts[0]), int(parts[1]))
 
@@ -159,4 +161,4 @@
 def _is_address(text: str) -> bool:
     host, _colon, port = text.rpartition(':')
     is_port = port.isascii() and port.isdigit()
-    return bool(host) and is_port and 0 < int(port) <= LARGEST_PORT
+    return bool(host) and is_port and 0 < int(port) <= MAX_PORT
