--- a/src/wigeonpier/platform/keys.py
+++ b/src/wigeonpier/platform/keys.py
@@ -1,4 +1,4 @@
-"""Names of the keys that the system holds in the key-value service."""
+"""Names of the keys that the system stores in the key-value service."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def name_job(customer: str, job: str) -> str:
     """Name the key of a job that is not finished.
 
-    :param customer: whose job it is.
+    :param customer: name of the customer that owns the job.
     :param job: id of the job.
     :returns: the key.
     """
@@ -25,7 +25,7 @@
 def name_results(customer: str, job: str) -> str:
     """Name the key of a finished job.
 
-    :param customer: whose job it is.
+    :param customer: name of the customer that owns the job.
     :param job: id of the job.
     :returns: the key.
     """
@@ -35,7 +35,7 @@
 def name_file(customer: str, file_id: str) -> str:
     """Name the key of an uploaded file.
 
-    :param customer: whose file it is.
+    :param customer: name of the customer that owns the file.
     :param file_id: id of the file.
     :returns: the key.
     """
@@ -43,9 +43,9 @@
 
 
 def name_resend(customer: str, digest: str) -> str:
-    """Name the key that joins resends of one job.
+    """Name the key by which resends of a job are recognized.
 
-    :param customer: who sent it.
+    :param customer: name of the customer that sent it.
     :param digest: digest of the idempotency key, or of the request.
     :returns: the key.
     """
@@ -73,7 +73,7 @@
 
 
 def parse_chunk(key: str) -> tuple[str, int]:
-    """Take the key of a chunk's claim apart.
+    """Parse the key of a chunk's claim.
 
     :param key: key that :func:`name_chunk` made.
     :returns: job id and index.
--- a/src/wigeonpier/platform/messages.py
+++ b/src/wigeonpier/platform/messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the calls to the key-value service."""
+"""Bodies of calls to the key-value service."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class StoredItem(msgspec.Struct, omit_defaults=True):
-    """A key as it stands, or an event of a watch.
+    """The current state of a key, or an event of a watch.
 
     :param key: its name.
     :param value: its bytes as base64.
     :param revision: revision of its last change.
     :param created: revision of its creation.
-    :param lease: lease that it ends with, 0 for none.
-    :param is_gone: whether the event says that it was removed.
+    :param lease: lease with which it expires, 0 for none.
+    :param is_gone: whether the event reports that the key was removed.
     """
 
     key: str
@@ -25,7 +25,7 @@
 
 
 class RevisionOnly(msgspec.Struct):
-    """A key of which the value is left undecoded.
+    """A key without its value, which is not decoded.
 
     :param revision: revision of its last change.
     """
@@ -47,10 +47,10 @@
 
 
 class EventPage(msgspec.Struct):
-    """What a watch saw.
+    """The events of a watch.
 
     :param events: changes in order.
-    :param revision: revision to go on from.
+    :param revision: revision to continue from.
     """
 
     events: list[StoredItem] = []
@@ -61,7 +61,7 @@
     """A condition of a commit.
 
     :param key: name of the key.
-    :param revision: what it must have, 0 for absent.
+    :param revision: revision that it must have; 0 if it must be absent.
     """
 
     key: str
@@ -73,7 +73,7 @@
 
     :param key: its name.
     :param value: its bytes as base64.
-    :param lease: lease that it ends with, 0 for none.
+    :param lease: lease with which it expires, 0 for none.
     """
 
     key: str
@@ -84,7 +84,7 @@
 class CommitBody(msgspec.Struct):
     """Conditions and changes of a commit.
 
-    :param guards: all must hold.
+    :param guards: conditions; the commit takes effect only if all hold.
     :param writes: keys that are written.
     :param deletes: keys that are removed.
     """
@@ -104,7 +104,7 @@
 
 
 class LeaseBody(msgspec.Struct):
-    """What is asked of a lease, or what applies.
+    """Request for a lease.
 
     :param time_to_live: milliseconds.
     """
--- a/src/wigeonpier/platform/places.py
+++ b/src/wigeonpier/platform/places.py
@@ -1,31 +1,31 @@
-"""Names of the keys that the hosted daemons keep in the store."""
+"""Names of the keys that the hosted daemons write to the store."""
 
 from __future__ import annotations
 
 HOSTED = 'wigeonpier/hosted/'
-# One read covers the jobs with items left and the processes that run them.
+# One read covers the open jobs and the processes that run their items.
 BOARD = f'{HOSTED}board/'
 # By id of the job.
 OPEN_JOBS = f'{BOARD}jobs/'
 # By name of the VM.
 MEMBERS = f'{BOARD}members/'
 DISKS = f'{BOARD}disks/'
-# By fingerprint: requests that end what runs them.  On the board, since who
-# starts reads that anyway.
+# By fingerprint: requests that crash the upstreams that run them.  Part of
+# the board, which each process reads at its start.
 REFUSED = f'{BOARD}refused/'
 # By VM and job.  Each process watches its own assignments only, so that a job
-# wakes those who run it and nobody else.
+# wakes only the processes that run it.
 ASSIGNMENTS = f'{HOSTED}work/'
 # By job and position of the item.
 PROGRESS = f'{HOSTED}progress/'
-# By job and position of the item; beside the results lies the job's head, so
-# that a process that has not read the job yet needs one call for everything.
+# By job and position of the item.  The head of the job has the same prefix,
+# so that a process that has not read the job yet needs only one call.
 RESULTS = f'{HOSTED}results/'
 HEAD = 'head'
 # By job and number of the part.
 ITEMS = f'{HOSTED}items/'
-# By job.  Small keys that tell how old a job is, so that old ones are found
-# cheaply.
+# By job.  Small keys with the time at which a job was sent, so that old jobs are
+# found without reading them.
 AGES = f'{HOSTED}ages/'
 
 
@@ -33,24 +33,24 @@
     """Name a key.
 
     :param space: one of the spaces above.
-    :param parts: what the space is ordered by.
+    :param parts: components of the key, as listed at the space.
     :returns: the key.
     """
     return space + '/'.join(map(str, parts))
 
 
 def name_prefix(space: str, *parts: object) -> str:
-    """Name the prefix of all keys below some parts.
+    """Name the prefix of all keys with the same first components.
 
     :param space: one of the spaces above.
-    :param parts: the first parts of the keys.
+    :param parts: first components of the keys.
     :returns: the prefix.
     """
     return f'{name_key(space, *parts)}/'
 
 
 def parse_assignment(key: str) -> tuple[str, str]:
-    """Take the key of an assignment apart.
+    """Parse the key of an assignment.
 
     :param key: its name.
     :returns: name of the VM and id of the job.
@@ -60,9 +60,9 @@
 
 
 def parse_index(key: str) -> int:
-    """Take the key of a result or of a progress apart.
+    """Parse the key of a result or of an item's progress.
 
-    :func:`is_head` tells the one key beside them that has no position.
+    The head of a job, which :func:`is_head` recognizes, has no position.
 
     :param key: its name.
     :returns: position of the item in the job.
@@ -71,9 +71,9 @@
 
 
 def is_head(key: str) -> bool:
-    """Tell the head of a job from its results.
+    """Tell whether a key is the head of a job and not a result.
 
-    :param key: a key below a job's results.
+    :param key: a key under the prefix of the job's results.
     :returns: true for the head.
     """
     return key.rpartition('/')[2] == HEAD
--- a/src/wigeonpier/platform/process.py
+++ b/src/wigeonpier/platform/process.py
@@ -12,9 +12,9 @@
 from wigeonpier.settings.document import DocumentError
 
 FILE_VARIABLE = 'WIGEONPIER_NODE_FILE'
-USUAL_FILE = '/etc/wigeonpier/settings.toml'
-USUAL_STATUS_SECONDS = 120.0
-USUAL_CONTACT_MS = 3000.0
+DEFAULT_FILE = '/etc/wigeonpier/settings.toml'
+DEFAULT_STATUS_SECONDS = 120.0
+DEFAULT_CONTACT_MS = 3000.0
 MILLISECONDS = 1000
 
 
@@ -26,11 +26,11 @@
 class _Bounds(msgspec.Struct):
     grace_s: float = msgspec.field(name='graceS')
     status_s: float = msgspec.field(
-        name='statusS', default=USUAL_STATUS_SECONDS
+        name='statusS', default=DEFAULT_STATUS_SECONDS
     )
-    # Time after which a process counts as in touch again.
+    # Time after a disturbance for which a process may act on old state.
     contact_ms: float = msgspec.field(
-        name='contactMs', default=USUAL_CONTACT_MS
+        name='contactMs', default=DEFAULT_CONTACT_MS
     )
     is_strict: bool = msgspec.field(name='strictRevocation', default=False)
     revoke_ms: float = msgspec.field(name='revokeMs', default=0)
@@ -73,7 +73,7 @@
 
     :returns: its path.
     """
-    return os.environ.get(FILE_VARIABLE) or USUAL_FILE
+    return os.environ.get(FILE_VARIABLE) or DEFAULT_FILE
 
 
 def read_settings(path: str) -> HostSettings:
@@ -82,7 +82,7 @@
     :param path: the file.
     :returns: the settings.
     :raises DocumentError: when it cannot be used; the message names the
-        field.
+        invalid field.
     """
     try:
         text = Path(path).read_text(encoding='utf-8')
--- a/src/wigeonpier/platform/view.py
+++ b/src/wigeonpier/platform/view.py
@@ -1,4 +1,4 @@
-"""A process's view of all keys under a prefix, kept fresh by a watch."""
+"""A local copy of all keys under a prefix, updated by a watch."""
 
 from __future__ import annotations
 
@@ -17,27 +17,28 @@
 
     from wigeonpier.platform.port import WatchedStore
 
-# Makes a view of a prefix whose changes go to a callback.
+# Makes a view of a prefix that reports changes to a callback.
 ViewFactory: TypeAlias = 'Callable[[str, Callable[[Change], None]], PrefixView]'
 
-FIRST_PAUSE_SECONDS = 0.2
-# News has to be in force within 2 s, also where a call or two were lost.
-LONGEST_PAUSE_SECONDS = 0.6
-SPREAD = (0.5, 1.5)
+INITIAL_PAUSE_SECONDS = 0.2
+# Updates have to apply within 2 s, even if one or two calls are lost.
+MAX_PAUSE_SECONDS = 0.6
+PAUSE_JITTER = (0.5, 1.5)
 
 
 @dataclass(slots=True)
 class PrefixView:
-    """Keys under a prefix as last seen.
+    """Local copy of the keys under a prefix.
 
-    :param platform: the port.
-    :param prefix: what is watched.
+    :param platform: the key-value service.
+    :param prefix: start of the watched keys.
     :param on_change: called with each change, in order.
-    :param draw: spreads the return of many processes after an outage.
-    :param entries: keys as last seen.
+    :param draw: spreads the reads of many processes after an outage.
+    :param entries: last known entry of each key.
     :param is_complete: whether all keys were read once.
-    :param pause: seconds until it is tried again.
-    :param wait: waits so many seconds, less where news makes it worth trying.
+    :param pause: seconds until the next attempt.
+    :param wait: waits for a number of seconds, or less where an attempt can
+        succeed earlier.
     """
 
     platform: WatchedStore
@@ -46,30 +47,30 @@
     draw: random.Random
     entries: dict[str, Entry] = field(default_factory=dict)
     is_complete: bool = False
-    pause: float = FIRST_PAUSE_SECONDS
+    pause: float = INITIAL_PAUSE_SECONDS
     wait: Callable[[float], object] = gevent.sleep
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the watch."""
         spawn_loop(f'watch {self.prefix}', self._run)
 
     def _run(self) -> None:
         if self._follow():
-            self.pause = FIRST_PAUSE_SECONDS
-        self.wait(self.pause * self.draw.uniform(*SPREAD))
-        self.pause = min(LONGEST_PAUSE_SECONDS, self.pause * 2)
+            self.pause = INITIAL_PAUSE_SECONDS
+        self.wait(self.pause * self.draw.uniform(*PAUSE_JITTER))
+        self.pause = min(MAX_PAUSE_SECONDS, self.pause * 2)
 
     def _follow(self) -> bool:
         listed = self.platform.list_prefix(self.prefix)
         if isinstance(listed, Err):
             return False
         snapshot = listed.ok_value
-        fresh = {entry.key: entry for entry in snapshot.entries}
-        for key in set(self.entries) - set(fresh):
+        listed_keys = {entry.key: entry for entry in snapshot.entries}
+        for key in set(self.entries) - set(listed_keys):
             self._apply(Change(key, None, snapshot.revision))
         for entry in snapshot.entries:
-            known = self.entries.get(entry.key)
-            if known is None or known.revision != entry.revision:
+            previous = self.entries.get(entry.key)
+            if previous is None or previous.revision != entry.revision:
                 self._apply(
                     Change(
                         entry.key,
--- a/src/wigeonpier/platform/wire.py
+++ b/src/wigeonpier/platform/wire.py
@@ -1,28 +1,28 @@
-"""Names on the platform's wire, each beside what it means inside.
+"""Names of the platform's headers, paths, query parameters and keys.
 
-Nothing outside this folder knows these names.
+The strings appear only in this folder; other code uses the constants.
 """
 
 from __future__ import annotations
 
 REQUEST_ID = 'X-Attempt-Id'
 DEADLINE_MS = 'X-Deadline-Ms'
-# The parts of a prompt, shared ones first, as ID:TOKENS.
+# Parts of a prompt, shared ones first, as ID:TOKENS.
 PROMPT_PARTS = 'X-Prompt-Prefix'
-# Proof by the upstream that the answer is its own.
+# Present where the upstream itself sent the answer.
 SIGNATURE = 'X-Response-Signature'
 EXPECTED_INSTANCE = 'X-Expect-Instance'
 INSTANCE = 'X-Instance-Id'
-# Running, waiting and slots of an upstream, separated by commas.
+# Running and waiting requests and slots, separated by commas.
 LOAD = 'X-Server-Load'
 NOT_RUN = 'X-Not-Executed'
-# What proves who asks; it goes no further than the entry.
+# Key of the caller; the entry does not forward it.
 KEY_HEADER = 'X-Key'
 # The platform calls a customer a tenant.
 CUSTOMER = 'X-Tenant'
 RETRY_AFTER = 'Retry-After'
 RESUME_AFTER = 'Last-Event-Id'
-# Longest time that a call may be kept waiting.
+# Longest time that a call may wait.
 WAIT_MS = 'X-Wait-Ms'
 
 READY_PATH = '/-/ready'
@@ -39,13 +39,13 @@
 KEEP_PATH = '/-/kv-keep/'
 END_PATH = '/-/kv-lease-end/'
 
-# Names in the query of these calls.  What comes after is a key for pages and
-# a revision for watches.
+# Query parameters of these calls.  ``after`` is a key for pages and a revision
+# for watches.
 KEY = 'key'
 PREFIX = 'pathPrefix'
 AFTER = 'after'
 WATCH_WAIT_MS = 'waitMs'
-# A read that may be old costs a tenth of another one.
+# A read that may return old values costs a tenth of another one.
 MAY_BE_OLD = 'allowStale'
 
 OPERATOR_CONFIGURATION = 'op/config'
