--- a/src/wigeonpier/platform/places.py
+++ b/src/wigeonpier/platform/places.py
@@ -24,8 +24,8 @@
 HEAD = 'head'
 # By job and number of the part.
 ITEMS = f'{HOSTED}items/'
-# By job.  Small keys with the time at which a job was sent, so that old jobs are
-# found without reading them.
+# By job.  Small keys with the time at which a job was sent, so that old jobs
+# are found without reading them.
 AGES = f'{HOSTED}ages/'
 
 
