--- a/src/wigeonpier/settings/deployment.py
+++ b/src/wigeonpier/settings/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment's configuration: one base document, an overlay a site."""
+"""The deployment's configuration: a base document and an overlay per site."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ServiceKind(StrEnum):
-    """What stands behind a service."""
+    """What kind of upstreams a service has."""
 
     model = 'model'
     plain = 'plain'
@@ -25,7 +25,7 @@
 class GateKind(StrEnum):
     """How a local process shares its upstream between online and batch.
 
-    ``learned`` is the one to run; the others are there to compare with.
+    ``learned`` is meant for production; the others exist for comparison.
     """
 
     learned = 'learned'
@@ -39,8 +39,8 @@
 
     :param requests_per_second: online requests.
     :param tokens_per_second: tokens of online answers.
-    :param concurrent: online requests in hand.
-    :param queued_items: batch items that are not finished.
+    :param concurrent: online requests in flight.
+    :param queued_items: unfinished batch items.
     """
 
     requests_per_second: Positive = 100
@@ -52,7 +52,7 @@
 class Customer(msgspec.Struct, forbid_unknown_fields=True):
     """One client account.
 
-    :param key_hashes: SHA-256 of each key in force, hexadecimal.
+    :param key_hashes: SHA-256 of each valid key, hexadecimal.
     :param limits: what it may use.
     :param weight: share of batch capacity against other customers.
     """
@@ -67,14 +67,15 @@
 
     :param kind: model engines or plain services.
     :param models: models that its upstreams serve.
-    :param idempotent: default for requests that do not say.
-    :param checks_fencing: whether its engines refuse older orders.
+    :param idempotent: default for requests that do not state it.
+    :param checks_fencing: whether its engines refuse orders with an older
+        fencing number.
     :param deadline_seconds: longest time for one online request.
-    :param between_tokens_ms: target for 95 in 100.
-    :param first_token_ms: target for 95 in 100.
-    :param gate: how batch work is let in beside online work.
-    :param batch_streams: most batch streams of an upstream, for the gates
-        ``reserve`` and ``open``.
+    :param between_tokens_ms: target of the 95th percentile.
+    :param first_token_ms: target of the 95th percentile.
+    :param gate: how batch work is admitted beside online work.
+    :param batch_streams: maximum of batch streams of an upstream, for the
+        gates ``reserve`` and ``open``.
     """
 
     kind: ServiceKind = ServiceKind.model
@@ -98,15 +99,16 @@
 
 
 class Batch(msgspec.Struct, forbid_unknown_fields=True):
-    """How batch jobs are kept and run.
+    """How batch jobs are stored and run.
 
     :param copies: copies of each file and journal, where enough data
-        folders are in reach.
-    :param least_copies: fewest copies with which anything is accepted.
-    :param attempts: most failed attempts of an item.
-    :param lone_losses: most upstream losses while an item ran alone.
-    :param resend_hours: window in which the same request is the same job.
-    :param retain_days: how long files and results are kept.
+        folders are reachable.
+    :param least_copies: minimum number of copies; with fewer nothing is
+        accepted.
+    :param attempts: maximum of failed attempts of an item.
+    :param lone_losses: maximum of lost upstreams while an item ran alone.
+    :param resend_hours: time in which a repeated request is the same job.
+    :param retain_days: how long files and results are stored.
     """
 
     copies: Count = 3
@@ -118,15 +120,15 @@
 
 
 class Deployment(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole deployment as one site sees it.
+    """The configuration of the deployment at one site.
 
     :param data_centres: data centres by name.
     :param services: services by name.
     :param customers: client accounts by name.
-    :param batch: how batch jobs are kept and run.
-    :param body_limit: most bytes of an online request.
-    :param line_limit: most bytes of one batch line.
-    :param upload_limit: most bytes of an uploaded file.
+    :param batch: how batch jobs are stored and run.
+    :param body_limit: maximum size of an online request, bytes.
+    :param line_limit: maximum size of one batch line, bytes.
+    :param upload_limit: maximum size of an uploaded file, bytes.
     """
 
     data_centres: dict[str, DataCentre]
@@ -139,11 +141,11 @@
 
 
 class Bundle(msgspec.Struct, forbid_unknown_fields=True):
-    """What the key-value service holds under the configuration's key.
+    """Content of the configuration's key in the key-value service.
 
     :param version: counts up by one with each accepted change.
     :param operation: id of the change that made this version.
-    :param operator: who made it.
+    :param operator: name of the operator who made the change.
     :param base: base document.
     :param overlays: overlay by site.
     """
@@ -156,7 +158,7 @@
 
 
 def merge_overlay(base: Any, overlay: Any) -> Any:
-    """Apply a JSON merge patch (RFC 7396) without changing its input.
+    """Apply a JSON merge patch (RFC 7396) without changing its arguments.
 
     :param base: any JSON value.
     :param overlay: the patch; ``None`` members delete.
@@ -174,12 +176,13 @@
 
 
 def make_effective(bundle: Bundle, site: str) -> Deployment:
-    """Work out what a site runs with.
+    """Make the configuration that applies at a site.
 
     :param bundle: base and overlays.
     :param site: name of the site.
     :returns: the validated configuration.
-    :raises DocumentError: naming the site and each key path.
+    :raises DocumentError: when it is invalid; names the site and each key
+        path.
     """
     overlay = bundle.overlays.get(site, {})
     where = f'at site {site}' if site else 'without an overlay'
@@ -191,7 +194,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Hash a customer's key for the configuration.
+    """Hash a customer's key as the configuration stores it.
 
     :param key: random text of at least 128 bits, so that no salt is needed.
     :returns: SHA-256, hexadecimal.
--- a/src/wigeonpier/settings/document.py
+++ b/src/wigeonpier/settings/document.py
@@ -1,4 +1,4 @@
-"""JSON with comments: read, validate, and name every mistake at once."""
+"""Reads and validates JSON with comments, and reports all mistakes."""
 
 from __future__ import annotations
 
@@ -18,16 +18,19 @@
     """
 
     def __init__(self, problems: list[str]) -> None:
-        """Keep the problems."""
+        """Create an error.
+
+        :param problems: descriptions, one for each mistake.
+        """
         super().__init__('\n'.join(problems))
         self.problems = problems
 
 
 def read_document(path: str) -> Any:
-    """Read a file of JSON with comments.
+    """Read a file of JSON with comments, without validation.
 
     :param path: the file.
-    :returns: the plain value.
+    :returns: the parsed value.
     :raises DocumentError: when it cannot be read or parsed.
     """
     try:
@@ -37,13 +40,13 @@
 
 
 def convert_document(source: str, content: Any, model: type[Model]) -> Model:
-    """Validate a plain value.
+    """Validate a parsed value.
 
-    :param source: file or other name for messages.
-    :param content: the plain value.
-    :param model: what it has to be.
+    :param source: file or other source, for messages.
+    :param content: the parsed value.
+    :param model: type that it has to have.
     :returns: the validated value.
-    :raises DocumentError: with every mistake, not only the first.
+    :raises DocumentError: with all mistakes.
     """
     try:
         return msgspec.convert(content, model)
@@ -56,14 +59,15 @@
     """Read and validate a file.
 
     :param path: the file.
-    :param model: what it has to be.
+    :param model: type that it has to have.
     :returns: the validated value.
+    :raises DocumentError: when it cannot be read or is invalid.
     """
     return convert_document(path, read_document(path), model)
 
 
 def _find_problems(source: str, content: Any, model: type[Any]) -> list[str]:
-    # Needed only after a mistake, and too large for a daemon to carry.
+    # Imported only after a mistake: it is too large to load in every daemon.
     import jsonschema  # noqa: PLC0415, WPS433
 
     validator = jsonschema.Draft202012Validator(msgspec.json.schema(model))
--- a/src/wigeonpier/settings/holder.py
+++ b/src/wigeonpier/settings/holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force in one process; versions only go up."""
+"""The current configuration of a process; its version never decreases."""
 
 from __future__ import annotations
 
@@ -17,31 +17,36 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-KEPT_FILE = 'configuration.json'
+STORED_FILE = 'configuration.json'
 
 
 class ConfigurationHolder:
-    """Holds the newest configuration that this process has seen."""
+    """Holds the newest configuration that this process has received."""
 
     def __init__(self, site: str, data_folder: str = '') -> None:
-        """Begin with what the data folder keeps, if there is one."""
+        """Start with the configuration stored in the data folder, if any.
+
+        :param site: site whose overlay applies.
+        :param data_folder: folder for the newest configuration, empty for
+            none.
+        """
         self.bundle: Bundle | None = None
         self.raw = b''
         self._deployment: Deployment | None = None
         self._site = site
         self._listeners: list[Callable[[Deployment], None]] = []
-        self._path = Path(data_folder) / KEPT_FILE if data_folder else None
+        self._path = Path(data_folder) / STORED_FILE if data_folder else None
         if self._path and self._path.exists():
             self.adopt(self._path.read_bytes())
 
     @property
     def version(self) -> int:
-        """Give the version in force, 0 before there is one."""
+        """Return the current version, 0 before there is one."""
         return self.bundle.version if self.bundle else 0
 
     @property
     def deployment(self) -> Deployment:
-        """Give the configuration in force.
+        """Return the current configuration.
 
         :raises Refusal: before there is one.
         """
@@ -53,19 +58,20 @@
         return self._deployment
 
     def listen(self, listener: Callable[[Deployment], None]) -> None:
-        """Be told of each configuration that comes into force.
+        """Add a listener for configurations.
 
-        :param listener: called now, if there is one, and at each change.
+        :param listener: called with the current configuration, if there is
+            one, and with each later one.
         """
         self._listeners.append(listener)
         if self._deployment is not None:
             listener(self._deployment)
 
     def adopt(self, raw: bytes) -> bool:
-        """Put a configuration in force unless a newer one is.
+        """Apply a configuration unless it is invalid or not newer.
 
-        :param raw: the bundle as kept in the key-value service.
-        :returns: whether it came into force.
+        :param raw: the bundle as stored in the key-value service.
+        :returns: whether it was applied.
         """
         try:
             bundle = msgspec.json.decode(raw, type=Bundle)
@@ -75,10 +81,10 @@
         except (msgspec.DecodeError, DocumentError) as error:
             log_event(Event.configuration_refused, problem=str(error))
             return False
-        self._put_in_force(bundle, raw, deployment)
+        self._apply(bundle, raw, deployment)
         return True
 
-    def _put_in_force(
+    def _apply(
         self,
         bundle: Bundle,
         raw: bytes,
@@ -94,9 +100,9 @@
         self._deployment = deployment
         if self._path:
             self._path.parent.mkdir(parents=True, exist_ok=True)
-            fresh = self._path.with_suffix('.new')
-            fresh.write_bytes(raw)
-            fresh.replace(self._path)
+            temporary = self._path.with_suffix('.new')
+            temporary.write_bytes(raw)
+            temporary.replace(self._path)
         for listener in self._listeners:
             listener(deployment)
         log_event(Event.configuration_applied, version=bundle.version)
--- a/src/wigeonpier/settings/process.py
+++ b/src/wigeonpier/settings/process.py
@@ -1,4 +1,4 @@
-"""Settings of one process: addresses, data centre, keys, folders."""
+"""Settings of one daemon: addresses, data centre, keys and folders."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 
 import msgspec
 
-SHORTEST_KEY = 16
+MIN_KEY_LENGTH = 16
 Address = Annotated[str, msgspec.Meta(pattern=r'^[0-9A-Za-z.\-\[\]:]+:\d+$')]
 PositiveSeconds = Annotated[float, msgspec.Meta(gt=0)]
-PeerKey = Annotated[str, msgspec.Meta(min_length=SHORTEST_KEY)]
+PeerKey = Annotated[str, msgspec.Meta(min_length=MIN_KEY_LENGTH)]
 
 
 class ProcessSettings(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What every daemon is told.
+    """Settings that all daemons have.
 
     :param name: name of the VM, as on the VM list.
-    :param data_centre: where the VM stands.
+    :param data_centre: data centre of the VM.
     :param site: overlay that applies; the data centre where it is empty.
-    :param listen: ``host:port`` for callers and peers; port 0 is a free one.
+    :param listen: ``host:port`` for callers and peers; port 0 for any free
+        port.
     :param platform: ``host:port`` of the platform's gateway.
-    :param peer_keys: shared keys of the processes, the first one is sent,
-        all are taken.
-    :param data_folder: folder for bulk data, empty where there is none.
-    :param entries: ``host:port`` of entry processes to begin with.
-    :param log_level: lowest level that is logged.
+    :param peer_keys: shared keys of the processes; the first one is sent, all
+        are accepted.
+    :param data_folder: folder for bulk data, empty for none.
+    :param entries: ``host:port`` of the entry processes to contact first.
+    :param log_level: minimum level of logged events.
     :param trace_file: file for spans, JSON lines, empty for none.
     :param otlp: ``host:port`` of an OTLP/HTTP collector, empty for none.
-    :param drain_seconds: longest wait for work in hand at a stop.
+    :param drain_seconds: longest wait for work in progress at a stop.
     """
 
     name: str
@@ -45,11 +46,11 @@
 
 
 class EntrySettings(ProcessSettings, kw_only=True, forbid_unknown_fields=True):
-    """What an entry process is told.
+    """Settings of an entry process.
 
     :param admin: ``host:port`` of the administration listener.
-    :param grace_seconds: how long a leaving entry still takes requests, so
-        that the balancer can see that it is not ready.
+    :param grace_seconds: how long a leaving entry still accepts requests, so
+        that the load balancer can detect that it is not ready.
     """
 
     admin: Address = '127.0.0.1:0'
@@ -57,9 +58,9 @@
 
 
 class LocalSettings(ProcessSettings, kw_only=True, forbid_unknown_fields=True):
-    """What a local process is told.
+    """Settings of a local process.
 
-    :param upstream: ``host:port`` of the upstream beside it.
+    :param upstream: ``host:port`` of the upstream on the same VM.
     :param service: service that the upstream is a replica of.
     """
 
@@ -68,7 +69,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Take an address apart.
+    """Split an address.
 
     :param address: ``host:port``.
     :returns: host and port.
