--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -1,4 +1,4 @@
-"""The adapter against the stand-in: every outcome of a call."""
+"""The etcd gateway client against a stand-in: all outcomes of a call."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
     assert port.get('k') == Ok(None)
 
 
-def test_a_lost_answer_is_not_a_failure(stand_in) -> None:
+def test_lost_answer_has_unknown_outcome(stand_in) -> None:
     platform, port = stand_in
     platform.faults.lose_answers = 1
     assert port.swap('k', b'one', 0) == Err(Failure.unknown)
     assert platform.cells['k'].value == b'one'
 
 
-def test_a_service_that_is_down_took_no_write(stand_in) -> None:
+def test_service_that_is_down_applies_no_write(stand_in) -> None:
     platform, port = stand_in
-    gone = GatewayPlatform(HttpCaller(), '127.0.0.1:1')
-    assert gone.swap('k', b'one', 0) == Err(Failure.unavailable)
+    unreachable = GatewayPlatform(HttpCaller(), '127.0.0.1:1')
+    assert unreachable.swap('k', b'one', 0) == Err(Failure.unavailable)
     platform.faults.down = True
     assert port.get('k') == Err(Failure.unavailable)
 
 
-def test_a_watch_goes_on_from_a_revision(stand_in) -> None:
+def test_watch_continues_after_a_revision(stand_in) -> None:
     platform, port = stand_in
     port.swap('p/a', b'1', 0)
     listed = port.list_prefix('p/').unwrap()
@@ -59,7 +59,7 @@
     assert seen == [('p/b', None)]
 
 
-def test_leases_lapse_with_their_keys(stand_in) -> None:
+def test_keys_are_removed_with_their_lease(stand_in) -> None:
     platform, port = stand_in
     lease = port.grant_lease(60).unwrap()
     port.swap('k', b'mine', 0, lease).unwrap()
@@ -69,7 +69,7 @@
     assert port.keep_lease(lease).unwrap() == 0
 
 
-def test_the_vm_list_can_be_stale(stand_in) -> None:
+def test_vm_list_may_be_out_of_date(stand_in) -> None:
     platform, port = stand_in
     platform.add_vm('a', '127.0.0.1:1', 'dc')
     platform.faults.frozen_vms = [dict(vm) for vm in platform.vms]
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize('fault', ['lose_answers', 'refuse_writes'])
-def test_a_write_is_made_certain(stand_in, fault) -> None:
+def test_outcome_of_a_write_is_confirmed(stand_in, fault) -> None:
     platform, port = stand_in
     setattr(platform.faults, fault, 0.6)
     for number in range(12):
@@ -103,7 +103,7 @@
         assert wrote == Ok(platform.cells[key].revision)
 
 
-def test_of_two_writers_one_wins_although_answers_are_lost(stand_in) -> None:
+def test_one_of_two_writers_wins_when_answers_are_lost(stand_in) -> None:
     platform, port = stand_in
     platform.faults.lose_answers = 0.5
     for number in range(8):
@@ -129,7 +129,7 @@
         assert Err(Failure.conflict) in outcomes
 
 
-def test_a_prefix_is_deleted_in_one_call(stand_in) -> None:
+def test_prefix_is_deleted_in_one_call(stand_in) -> None:
     platform, port = stand_in
     for key in ('p/a', 'p/b', 'q/a'):
         port.swap(key, b'1', 0)
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -1,4 +1,4 @@
-"""What the operator, replicas and callers write, decoded once."""
+"""Decoding of what the operator, replicas and callers write."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 """
 
 
-def test_settings_are_read_and_unknown_fields_left(tmp_path) -> None:
+def test_settings_are_read_and_unknown_fields_ignored(tmp_path) -> None:
     path = tmp_path / 'settings.toml'
     path.write_text(SETTINGS)
     settings = read_settings(str(path))
@@ -52,14 +52,14 @@
     assert settings.store_history == 20
 
 
-def test_a_mistake_in_settings_is_named(tmp_path) -> None:
+def test_invalid_setting_is_named(tmp_path) -> None:
     path = tmp_path / 'settings.toml'
     path.write_text(SETTINGS.replace('graceS = 8', 'graceS = "long"'))
     with pytest.raises(DocumentError, match='graceS'):
         read_settings(str(path))
 
 
-def test_kinds_of_routes_say_what_may_be_repeated() -> None:
+def test_kind_of_route_decides_whether_requests_are_idempotent() -> None:
     routes = [
         make_route_entry('safe', '/a/'),
         make_route_entry('unsafe', '/b/'),
@@ -79,13 +79,13 @@
     assert found[4].kind is RouteKind.once
 
 
-def test_load_of_an_upstream_is_read_or_left() -> None:
+def test_load_header_is_parsed_or_ignored() -> None:
     assert register.parse_load('3,1,8') == UpstreamReport(3, 1)
     assert register.parse_load('') is None
     assert register.parse_load('x,1,8') is None
 
 
-def test_headers_of_a_send_replace_the_callers() -> None:
+def test_headers_of_a_send_replace_those_of_the_caller() -> None:
     received = {
         'host': 'h',
         'x-deadline-ms': '5000',
@@ -105,28 +105,28 @@
     ]
 
 
-def test_parts_of_a_prompt_are_read() -> None:
+def test_prompt_parts_are_read() -> None:
     headers = {'x-prompt-prefix': 'a:800,b:410', 'x-deadline-ms': '250'}
     head = ingress.read_question(Request('POST', '/', '', headers, None))
     assert head.prompt_parts == ('a', 'b')
     assert head.seconds == 0.25
 
 
-def test_items_are_decoded_and_nonsense_is_refused() -> None:
+def test_items_are_decoded_and_invalid_bodies_refused() -> None:
     body = base64.b64encode(b'\x00').decode()
     item = {'id': 'i', 'path': '/p', 'body': body, 'tokens': 3}
     raw = msgspec.json.encode({'items': [item]})
     assert jobbodies.decode_items(raw) == [JobItem('i', '/p', {}, b'\x00', 3)]
-    for bad in (
+    for invalid in (
         b'{}',
         b'[]',
         msgspec.json.encode({'items': [item | {'body': 'a'}]}),
     ):
         with pytest.raises(ValueError):
-            jobbodies.decode_items(bad)
+            jobbodies.decode_items(invalid)
 
 
-def test_results_are_written_as_the_pages_say() -> None:
+def test_page_of_results_is_encoded() -> None:
     found = ItemResult('i', ItemState.abandoned, '')
     page = msgspec.json.decode(jobbodies.encode_results(4, 2, [found]))
     assert page == {
--- a/tests/platform/test_operator.py
+++ b/tests/platform/test_operator.py
@@ -1,4 +1,4 @@
-"""Customers of the operator's configuration, odd ones too."""
+"""Customers of the operator's configuration, valid and invalid."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return decode_configuration(msgspec.json.encode(content))
 
 
-def test_customers_are_found_by_each_of_their_keys() -> None:
+def test_customer_is_found_by_each_of_its_keys() -> None:
     found = decode(
         make_customer('a', 'k1', 'k2', ratePerS=3, burst=4, priority=1),
         make_customer('b', 'k3', unknown=1),
@@ -37,7 +37,7 @@
     assert decode().customers == {}
 
 
-def test_what_cannot_be_meant_is_said_and_does_not_keep_it_from_force() -> None:
+def test_invalid_customers_give_warnings_and_are_not_refused() -> None:
     found = decode(
         make_customer('a', 'secret'),
         make_customer('b', 'secret', 'k2'),
@@ -51,7 +51,7 @@
     assert 'secret' not in str(found.oddities)
 
 
-def test_what_stand_ins_write_is_read_again() -> None:
+def test_encoded_configuration_is_decoded_unchanged() -> None:
     found = decode(
         make_customer('a', 'k1', 'k2', ratePerS=3, burst=4, priority=1),
         make_customer('b', 'k3'),
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Client of the key-value service against its stand-in."""
+"""Client of the key-value service against a stand-in."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from wigeonpier.telemetry.metrics import Metrics
 from wigeonpier.web.pool import ConnectionPool
 
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 @pytest.fixture
 def stand_in() -> StandInStore:
-    """Make a stand-in."""
+    """Make a stand-in of the service."""
     return StandInStore()
 
 
 @pytest.fixture
 def store(stand_in: StandInStore) -> KeyValueStore:
-    """Make a client of it."""
+    """Make a client of the stand-in."""
     address = stand_in.start()
     return KeyValueStore(ConnectionPool(), address, Metrics(), 20)
 
@@ -40,7 +40,7 @@
     ]
 
 
-def test_a_guard_that_does_not_hold_changes_nothing(
+def test_failed_guard_changes_nothing(
     store: KeyValueStore,
 ) -> None:
     store.commit(Commit({'a': 0}, {'a': b'1'}))
@@ -49,7 +49,7 @@
     assert store.get('b') == Ok(None)
 
 
-def test_a_lost_answer_is_unknown_and_may_stand(
+def test_write_with_lost_answer_is_unknown_and_may_take_effect(
     store: KeyValueStore, stand_in: StandInStore
 ) -> None:
     stand_in.faults.lost_writes = 1
@@ -58,7 +58,7 @@
     assert store.get('a').unwrap() is not None
 
 
-def test_a_refusal_did_nothing(
+def test_refused_write_has_no_effect(
     store: KeyValueStore, stand_in: StandInStore
 ) -> None:
     stand_in.faults.is_down = True
@@ -68,7 +68,7 @@
     assert store.get('a') == Ok(None)
 
 
-def test_many_pages_are_read_whole(
+def test_all_pages_are_read(
     store: KeyValueStore, stand_in: StandInStore
 ) -> None:
     for number in range(600):
@@ -77,7 +77,7 @@
     assert len(snapshot.entries) == 600
 
 
-def test_a_watch_sees_each_change_in_order(store: KeyValueStore) -> None:
+def test_watch_receives_each_change_in_order(store: KeyValueStore) -> None:
     seen = []
     start = store.list_prefix('w/').unwrap().revision
 
@@ -89,9 +89,9 @@
     for number in range(5):
         store.commit(Commit(writes={f'w/{number}': b'x'}))
     store.commit(Commit(deletes=('w/0',)))
-    # A watch gathers for a while after the first change; all that came by then
-    # is compared, and nothing may come after it.
-    with gevent.Timeout(PATIENCE_SECONDS, False):
+    # A watch pauses after the first changes and receives the later ones in its
+    # next call.  All changes are compared, and no more may follow.
+    with gevent.Timeout(TIMEOUT_SECONDS, False):
         while ('w/0', None) not in seen:
             gevent.sleep(0.01)
     gevent.sleep(0.2)
@@ -99,7 +99,7 @@
     assert seen == [(f'w/{n}', b'x') for n in range(5)] + [('w/0', None)]
 
 
-def test_history_that_is_gone_is_told(
+def test_watch_after_compacted_history_fails(
     store: KeyValueStore, stand_in: StandInStore
 ) -> None:
     stand_in.put('w/1', 1)
@@ -107,7 +107,7 @@
     assert store.await_changes('w/', 1, 0) == Err(Failure.unavailable)
 
 
-def test_keys_go_with_their_lease(store: KeyValueStore) -> None:
+def test_keys_are_removed_with_their_lease(store: KeyValueStore) -> None:
     lease = store.grant_lease(1).unwrap()
     store.commit(Commit(writes={'m': b'1'}, lease=lease))
     assert store.keep_lease(lease) == Ok(True)
@@ -118,7 +118,7 @@
     assert late == Err(Failure.lapsed)
 
 
-def test_the_id_of_a_lease_is_never_used_again(store: KeyValueStore) -> None:
+def test_lease_id_is_never_reused(store: KeyValueStore) -> None:
     first, second = (store.grant_lease(9).unwrap() for _ in range(2))
     store.end_lease(first)
     assert store.grant_lease(9).unwrap() not in {first, second}
@@ -127,7 +127,7 @@
 def test_changes_in_quick_succession_cost_few_calls(
     store: KeyValueStore, stand_in: StandInStore
 ) -> None:
-    """Replicas that start within a second woke each entry once each."""
+    """Guards against one call per change when many replicas start at once."""
     seen: list[str] = []
 
     def follow() -> None:
