--- a/tests/settings/test_documents.py
+++ b/tests/settings/test_documents.py
@@ -1,4 +1,4 @@
-"""Settings, configurations and overlays."""
+"""Settings, the deployment's configuration and its overlays."""
 
 from __future__ import annotations
 
@@ -31,30 +31,30 @@
 
 
 @given(OBJECTS)
-def test_an_empty_overlay_changes_nothing(base) -> None:
+def test_empty_overlay_changes_nothing(base) -> None:
     assert merge_overlay(base, {}) == base
 
 
 @given(OBJECTS, OBJECTS)
-def test_an_overlay_applied_twice_is_applied_once(base, overlay) -> None:
+def test_overlay_is_idempotent(base, overlay) -> None:
     once = merge_overlay(base, overlay)
     assert merge_overlay(once, overlay) == once
 
 
 @given(OBJECTS, OBJECTS)
-def test_merging_changes_neither_input(base, overlay) -> None:
+def test_merge_leaves_its_arguments_unchanged(base, overlay) -> None:
     before = msgspec.json.encode([base, overlay])
     merge_overlay(base, overlay)
     assert msgspec.json.encode([base, overlay]) == before
 
 
-def test_null_deletes() -> None:
+def test_null_deletes_a_member() -> None:
     assert merge_overlay({'a': 1, 'b': {'c': 2}}, {'a': None}) == {
         'b': {'c': 2}
     }
 
 
-def test_every_mistake_is_named_with_file_and_key(tmp_path) -> None:
+def test_all_mistakes_are_named_with_file_and_key(tmp_path) -> None:
     path = tmp_path / 'entry.jsonc'
     path.write_text(
         '// comments are fine\n'
@@ -69,12 +69,12 @@
         assert part in text
 
 
-def test_a_file_that_is_not_there_is_named() -> None:
+def test_missing_file_is_named() -> None:
     with pytest.raises(DocumentError, match=r'no-such\.jsonc'):
         load_document('no-such.jsonc', EntrySettings)
 
 
-def test_good_settings_are_taken() -> None:
+def test_valid_settings_are_accepted() -> None:
     settings = build_entry_settings()
     plain = msgspec.to_builtins(settings)
     assert convert_document('x', plain, EntrySettings) == settings
@@ -91,7 +91,7 @@
 
 
 @given(st.lists(st.integers(1, 9), max_size=12))
-def test_versions_only_go_up(versions) -> None:
+def test_version_never_decreases(versions) -> None:
     holder = ConfigurationHolder('a')
     highest = 0
     for version in versions:
@@ -102,19 +102,19 @@
     assert not violations
 
 
-def test_a_configuration_that_cannot_be_applied_is_not_put_in_force() -> None:
+def test_invalid_configuration_is_not_applied() -> None:
     holder = ConfigurationHolder('a')
     holder.adopt(_encode(1))
     assert not holder.adopt(_encode(2, services={'s': {'kind': 'odd'}}))
     assert holder.version == 1
 
 
-def test_the_data_folder_keeps_the_newest(tmp_path) -> None:
+def test_newest_configuration_is_stored_in_the_data_folder(tmp_path) -> None:
     ConfigurationHolder('a', str(tmp_path)).adopt(_encode(7))
     assert ConfigurationHolder('a', str(tmp_path)).version == 7
 
 
-def test_a_site_sees_its_overlay_only() -> None:
+def test_only_the_overlay_of_the_site_applies() -> None:
     overlay = {'services': {'s': {'deadline_seconds': 5}}}
     bundle = msgspec.json.decode(_encode(1), type=Bundle)
     bundle.overlays['a'] = overlay
