--- a/src/wigeonpier/platform/messages.py
+++ b/src/wigeonpier/platform/messages.py
@@ -104,7 +104,7 @@
 
 
 class LeaseBody(msgspec.Struct):
-    """Request for a lease.
+    """Time to live of a lease, as requested or as renewed.
 
     :param time_to_live: milliseconds.
     """
--- a/src/wigeonpier/platform/wire.py
+++ b/src/wigeonpier/platform/wire.py
@@ -1,6 +1,6 @@
 """Names of the platform's headers, paths, query parameters and keys.
 
-The strings appear only in this folder; other code uses the constants.
+Code outside this folder uses the constants and not the strings.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 DEADLINE_MS = 'X-Deadline-Ms'
 # Parts of a prompt, shared ones first, as ID:TOKENS.
 PROMPT_PARTS = 'X-Prompt-Prefix'
-# Present where the upstream itself sent the answer.
+# Signature by which the upstream proves that the answer is its own.
 SIGNATURE = 'X-Response-Signature'
 EXPECTED_INSTANCE = 'X-Expect-Instance'
 INSTANCE = 'X-Instance-Id'
