--- a/tests/local/test_chunks.py
+++ b/tests/local/test_chunks.py
@@ -1,4 +1,4 @@
-"""Tests of chunks that are claimed while their job is cancelled."""
+"""Chunks that are claimed while their job is cancelled."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import pytest
 
 from wigeonpier.batch.claims import Claim
-from wigeonpier.local import chunks as chunks_module
+from wigeonpier.local import chunks
 from wigeonpier.local.chunks import OwnedChunks
 
 OPEN_SECONDS = 0.05
 
 
 class StandInChunk:
-    """Stands in for an opened chunk."""
+    """A chunk that is opened for a job."""
 
     name = 'j/0'
     index = 0
@@ -40,41 +40,39 @@
 @pytest.fixture
 def chunk(monkeypatch: pytest.MonkeyPatch) -> StandInChunk:
     """Make each claim open this chunk after a delay."""
-    opened = StandInChunk()
+    made = StandInChunk()
 
-    def open_slowly(*_arguments: object) -> StandInChunk:
+    def open_slowly(*_given: object) -> StandInChunk:
         gevent.sleep(OPEN_SECONDS)
-        return opened
+        return made
 
-    monkeypatch.setattr(
-        chunks_module, 'claim_chunk', lambda *_arguments: (Claim, 1)
-    )
-    monkeypatch.setattr(chunks_module, 'open_chunk', open_slowly)
-    monkeypatch.setattr(OwnedChunks, '_check_job', lambda *_arguments: None)
-    return opened
+    monkeypatch.setattr(chunks, 'claim_chunk', lambda *_given: (Claim, 1))
+    monkeypatch.setattr(chunks, 'open_chunk', open_slowly)
+    monkeypatch.setattr(OwnedChunks, '_check_job', lambda *_given: None)
+    return made
 
 
-def claim(owned_chunks: OwnedChunks) -> gevent.Greenlet:
+def claim(owned: OwnedChunks) -> gevent.Greenlet:
     offer = SimpleNamespace(
         job=SimpleNamespace(id='j'), chunk=0, claim=None, revision=0
     )
-    return gevent.spawn(owned_chunks._claim, offer)
+    return gevent.spawn(owned._claim, offer)
 
 
 def test_a_job_cancelled_during_a_claim_is_not_run(chunk) -> None:
     """The job was cancelled before its claimed chunk was in the list."""
-    owned_chunks = OwnedChunks(SimpleNamespace())
-    claiming = claim(owned_chunks)
+    owned = OwnedChunks(SimpleNamespace())
+    claiming = claim(owned)
     gevent.sleep(OPEN_SECONDS / 2)
-    owned_chunks.stop_jobs(('j',))
+    owned.stop_jobs(('j',))
     claiming.join()
     gevent.sleep(0)
-    assert not owned_chunks.chunks
+    assert not owned.chunks
     assert chunk.is_lost
     assert chunk.is_released
 
 
 def test_a_job_that_is_not_cancelled_is_run(chunk) -> None:
-    owned_chunks = OwnedChunks(SimpleNamespace())
-    claim(owned_chunks).join()
-    assert list(owned_chunks.chunks.values()) == [chunk]
+    owned = OwnedChunks(SimpleNamespace())
+    claim(owned).join()
+    assert list(owned.chunks.values()) == [chunk]
