--- a/src/wigeonpier/web/server.py
+++ b/src/wigeonpier/web/server.py
@@ -1,4 +1,4 @@
-"""The WSGI server of a daemon: filters, routes and a graceful stop."""
+"""WSGI server of a daemon with filters, routes and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
     StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 BACKLOG = 1024
-DRAIN_STEP_SECONDS = 0.02
-TARGET = 'wigeonpier.target'
-CONNECTION = 'wigeonpier.connection'
+DRAIN_POLL_SECONDS = 0.02
+TARGET_KEY = 'wigeonpier.target'
+CONNECTION_KEY = 'wigeonpier.connection'
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One path of a daemon.
+    """One route of a daemon.
 
     :param method: HTTP method, ``*`` for any.
-    :param pattern: regular expression of the whole path; its groups are
-        passed to the handler.
-    :param handler: answers the request.
+    :param pattern: regular expression matched against the full path; its
+        groups are passed to the handler.
+    :param handler: handles the request.
     """
 
     method: str
@@ -53,10 +53,10 @@
     pattern: str,
     handler: Callable[..., Response],
 ) -> Route:
-    """Describe one path.
+    """Create a route.
 
     :param method: HTTP method, ``*`` for any.
-    :param pattern: regular expression of the whole path.
+    :param pattern: regular expression matched against the full path.
     :param handler: takes the request and the groups of the pattern.
     :returns: the route.
     """
@@ -64,10 +64,10 @@
 
 
 def chain_filters(filters: Sequence[Filter], handler: Handler) -> Handler:
-    """Put filters before a handler, the first one outermost.
+    """Wrap a handler in filters, the first one outermost.
 
     :param filters: each takes the request and the next handler.
-    :param handler: answers what every filter let through.
+    :param handler: handles the requests that pass all filters.
     :returns: the handler with its filters.
     """
     for current in reversed(filters):
@@ -76,21 +76,21 @@
 
 
 def dispatch_to(routes: Sequence[Route]) -> Handler:
-    """Make the handler that finds the route of a request.
+    """Create a handler that dispatches requests to routes.
 
-    :param routes: all paths of the daemon.
+    :param routes: all routes of the daemon.
     :returns: the handler.
     """
 
     def dispatch(request: Request) -> Response:
         matches = [
-            (route, found)
+            (route, match)
             for route in routes
-            if (found := route.pattern.fullmatch(request.path))
+            if (match := route.pattern.fullmatch(request.path))
         ]
-        for route, found in matches:
+        for route, match in matches:
             if route.method in {'*', request.method}:
-                return route.handler(request, *found.groups())
+                return route.handler(request, *match.groups())
         if matches:
             raise Refusal(
                 ErrorKind.method_not_allowed,
@@ -102,12 +102,12 @@
 
 
 class _Handler(pywsgi.WSGIHandler):
-    """Logs broken connections as events instead of traces."""
+    """Logs broken connections as events instead of tracebacks."""
 
     def get_environ(self) -> dict[str, Any]:  # noqa: WPS615
         environ: dict[str, Any] = super().get_environ()
-        environ[TARGET] = self.path
-        environ[CONNECTION] = self.socket
+        environ[TARGET_KEY] = self.path
+        environ[CONNECTION_KEY] = self.socket
         return environ
 
     def _log_error(self, kind: type, error: Exception, _trace: Any) -> None:
@@ -119,11 +119,11 @@
 
 
 class Server:
-    """Listens on one address and counts what is in hand."""
+    """HTTP server on one address that counts requests in flight."""
 
     def __init__(self, host: str, port: int, handler: Handler) -> None:
-        """Bind the address; port 0 takes a free one."""
-        self.in_hand = 0
+        """Bind the address; port 0 selects a free port."""
+        self.in_flight = 0
         self.is_closing = False
         self.handler = handler
         self._listener = _open_listener(host, port)
@@ -137,29 +137,29 @@
 
     @property
     def address(self) -> str:
-        """Give ``host:port`` of the listener."""
+        """Return ``host:port`` of the listener."""
         host, port = self._listener.getsockname()[:2]
         return f'{host}:{port}'
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start accepting connections."""
         self._server.start()
 
     def drain(self, seconds: float) -> int:
-        """Close the listener and wait for what is in hand.
+        """Close the listener and wait for requests in flight.
 
-        :param seconds: longest wait.
-        :returns: how many requests were still in hand at the end.
+        :param seconds: maximum wait.
+        :returns: number of requests still in flight at the end.
         """
         self.is_closing = True
         self._server.close()
-        give_up = time.monotonic() + seconds
-        while self.in_hand and time.monotonic() < give_up:
-            pause(DRAIN_STEP_SECONDS)
-        return self.in_hand
+        deadline = time.monotonic() + seconds
+        while self.in_flight and time.monotonic() < deadline:
+            pause(DRAIN_POLL_SECONDS)
+        return self.in_flight
 
     def stop(self) -> None:
-        """Stop at once and cut off what is in hand."""
+        """Stop immediately and abort requests in flight."""
         self._server.stop(timeout=0)
 
     def _serve(
@@ -167,32 +167,32 @@
         environ: dict[str, Any],
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        self.in_hand += 1
+        self.in_flight += 1
         try:
-            response = _take_first_part(self.handler(_read_request(environ)))
+            response = _read_first_part(self.handler(_read_request(environ)))
         except Refusal as refusal:
             response = answer_refusal(refusal)
         except BaseException:
-            self.in_hand -= 1
+            self.in_flight -= 1
             raise
         headers = [('Content-Type', response.content_type)]
         headers += response.headers.items()
         if isinstance(response.body, bytes):
             headers.append(('Content-Length', str(len(response.body))))
         if self.is_closing:
-            # Whoever keeps this connection has to come back on another one,
-            # at another process.
+            # A client with a persistent connection has to open a new one,
+            # which reaches another process.
             headers.append(('Connection', 'close'))
         phrase = HTTPStatus(response.status).phrase
         start_response(f'{response.status} {phrase}', headers)
         return _Body(response, self._release)
 
     def _release(self) -> None:
-        self.in_hand -= 1
+        self.in_flight -= 1
 
 
 class _Body:
-    """The parts of a response; closes what stands behind them once."""
+    """Iterates over a response body and releases its resources on close."""
 
     def __init__(self, response: Response, release: Callable[[], None]) -> None:
         self._response = response
@@ -214,15 +214,19 @@
                 close_body()
 
 
-def _take_first_part(response: Response) -> Response:
-    """Ask for the first part of a body while a refusal can still be told."""
+def _read_first_part(response: Response) -> Response:
+    """Read the first part of a body while the status can still change.
+
+    A body that is produced lazily may raise a refusal at its first part;
+    the status line has not been sent then.
+    """
     if isinstance(response.body, bytes):
         return response
     parts = iter(response.body)
     try:
         first = next(parts, b'')
     except BaseException:
-        _Body(response, _release_nothing).close()
+        _Body(response, _skip_release).close()
         raise
     close_parts = getattr(parts, 'close', None)
     if close_parts is not None:
@@ -231,8 +235,8 @@
     return response
 
 
-def _release_nothing() -> None:
-    """Leave the count to whoever answers instead."""
+def _skip_release() -> None:
+    """Do nothing; the caller still counts the request as in flight."""
 
 
 def _wrap_handler(current: Filter, following: Handler) -> Handler:
@@ -242,8 +246,8 @@
 def _open_listener(host: str, port: int) -> Any:
     listener = green.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # Accepted sockets inherit it; without it each answer waits for the
-    # delayed acknowledgement of its headers, 40 ms.
+    # Accepted sockets inherit TCP_NODELAY. Without it, each response waits
+    # 40 ms for the delayed acknowledgement of its headers.
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     listener.bind((host, port))
     listener.listen(BACKLOG)
@@ -265,6 +269,6 @@
         query=environ['QUERY_STRING'],
         headers=headers,
         stream=environ['wsgi.input'],
-        target=environ.get(TARGET, ''),
-        connection=environ.get(CONNECTION),
+        target=environ.get(TARGET_KEY, ''),
+        connection=environ.get(CONNECTION_KEY),
     )
--- a/tests/web/test_server.py
+++ b/tests/web/test_server.py
@@ -1,4 +1,4 @@
-"""Answers whose body is refused before its first byte."""
+"""Tests of responses whose body is produced lazily."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 REQUEST = make_request('GET', '/', [('Host', 'h')])
 
 
-def refuse_lazily():
-    """Refuse as a reader of results does, when the body is asked for."""
+def yield_refusal():
+    """Raise a refusal when the first part of the body is read."""
     raise Refusal(ErrorKind.storage_down, 'no copy can be reached')
     yield b''
 
 
-def give_parts():
-    """Give two parts."""
+def yield_parts():
+    """Yield a body in two parts."""
     yield b'a'
     yield b'b'
 
 
 @pytest.mark.parametrize(
     ('body', 'status', 'expected'),
-    [(refuse_lazily, 503, b'storage_down'), (give_parts, 200, b'ab')],
+    [(yield_refusal, 503, b'storage_down'), (yield_parts, 200, b'ab')],
 )
-def test_a_body_that_is_refused_gets_its_answer(body, status, expected) -> None:
-    """A refusal in a lazy body had become a bare 500."""
+def test_refusal_in_a_lazy_body_sets_the_response_status(
+    body, status, expected
+) -> None:
+    """Guards against a refusal in a lazy body turning into a plain 500."""
     closed: list[int] = []
     response = Response(200, body(), on_close=[lambda: closed.append(1)])
     server = Server('127.0.0.1', 0, lambda _request: response)
@@ -41,5 +43,5 @@
     assert expected in reply.body
     gevent.sleep(0.02)
     assert closed == [1]
-    assert server.in_hand == 0
+    assert server.in_flight == 0
     server.stop()
