--- a/src/wigeonpier/web/exchange.py
+++ b/src/wigeonpier/web/exchange.py
@@ -1,9 +1,9 @@
-"""One request and its answer on a connection that our own code owns.
+"""One HTTP request and its response on a connection with controlled reuse.
 
-The pooled client resends on its own and puts a connection back before it has
-seen what follows an answer.  Calls that may not be repeated, and upstreams
-that may send bytes after a whole answer, need a connection whose reuse is
-decided here.
+The HTTP client library resends requests on its own and returns a connection
+to its pool before it has seen what follows a response.  Requests that must not
+be repeated, and upstreams that may send bytes after a complete response, need
+a connection whose reuse is decided here.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
     from wigeonpier.web.pool import ConnectionPool
 
 READ_BYTES = 16_384
-# The option's two numbers: on, and no seconds to linger.
+# SO_LINGER enabled with a timeout of 0 s: closing sends a reset.
 RESET_ON_CLOSE = struct.pack('ii', 1, 0)
-LEAST_PATIENCE_SECONDS = 0.001
-INTERIM_STATUSES = 200
+MIN_TIMEOUT_SECONDS = 0.001
+FIRST_FINAL_STATUS = 200
 HOP_HEADERS = frozenset(
     (
         'connection',
@@ -41,71 +41,71 @@
 
 
 class BrokenAnswerError(OSError):
-    """The answer ended before its end, or is no answer."""
+    """The response is truncated or is not valid HTTP."""
 
 
 class _Parser(HTTPResponse):  # type: ignore[misc]
-    """Takes one answer; anything that follows it is refused."""
+    """Parses one response and rejects any bytes that follow it."""
 
     def _on_message_begin(self) -> None:
-        whole = self.message_complete and self.headers_complete
-        if whole and self.get_code() >= INTERIM_STATUSES:
-            raise HTTPParseError('bytes after a whole answer')
+        is_complete = self.message_complete and self.headers_complete
+        if is_complete and self.get_code() >= FIRST_FINAL_STATUS:
+            raise HTTPParseError('bytes after a complete response')
         super()._on_message_begin()
 
 
 class Exchange:
-    """A request that was sent, and its answer as it arrives."""
+    """One request and its response on one connection."""
 
     def __init__(
         self,
         pool: ConnectionPool,
         address: str,
         sock: Any,
-        rested: float = 0,
+        idle_seconds: float = 0,
     ) -> None:
-        """Own the connection until :meth:`close`.
+        """Take over a connection until :meth:`close`.
 
-        :param pool: takes it back while it is clean.
-        :param address: ``host:port`` of the other end.
+        :param pool: receives the connection back if it can be reused.
+        :param address: ``host:port`` of the peer.
         :param sock: the connection.
-        :param rested: how long it was idle, seconds, 0 for a new one.
+        :param idle_seconds: how long it was idle, 0 for a new connection.
         """
         self._pool = pool
-        self._rested = rested
+        self._idle_seconds = idle_seconds
         self._address = address
         self._sock = sock
         self._parser = _Parser()
-        self._is_spoilt = False
+        self._is_unusable = False
         self._is_closed = False
-        self._ended_by_close = False
+        self._is_closed_by_peer = False
 
     @property
     def status(self) -> int:
-        """Give the status of the answer."""
+        """Return the HTTP status of the response."""
         return int(self._parser.get_code())
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether the answer ended as its framing says."""
+        """Check whether the response is complete according to its framing."""
         return bool(self._parser.message_complete)
 
     @property
     def is_unframed(self) -> bool:
-        """Tell whether only the end of the connection ended the answer."""
-        return self._ended_by_close
+        """Check whether the response was delimited by the connection close."""
+        return self._is_closed_by_peer
 
     def get_header(self, name: str) -> str:
-        """Read one header.
+        """Read one response header.
 
-        :param name: its name.
-        :returns: its value, empty where it is absent or repeated.
+        :param name: header name.
+        :returns: its value, empty if it is absent or repeated.
         """
         value = self._parser.get(name)
         return value if isinstance(value, str) else ''
 
     def list_headers(self) -> list[tuple[str, str]]:
-        """List the headers that are not of this connection only.
+        """List the end-to-end headers of the response.
 
         :returns: names and values.
         """
@@ -115,54 +115,54 @@
             if str(name).lower() not in HOP_HEADERS
         ]
 
-    def send(self, raw: bytes, patience: float) -> None:
-        """Send a request and read the head of its answer.
+    def send(self, raw: bytes, timeout: float) -> None:
+        """Send a request and read the head of the response.
 
-        :param raw: the request as it goes on the wire.
-        :param patience: longest silence, seconds.
-        :raises OSError: when the connection is lost or silent.
+        :param raw: the encoded request.
+        :param timeout: inactivity timeout, seconds.
+        :raises OSError: if the connection is lost or times out.
         """
-        self.write(raw, patience)
-        self.await_head(patience)
+        self.write(raw, timeout)
+        self.await_head(timeout)
 
-    def write(self, raw: bytes, patience: float) -> None:
+    def write(self, raw: bytes, timeout: float) -> None:
         """Send a request.
 
-        :param raw: the request as it goes on the wire.
-        :param patience: longest silence, seconds.
-        :raises OSError: when the connection is lost or takes nothing.
+        :param raw: the encoded request.
+        :param timeout: inactivity timeout, seconds.
+        :raises OSError: if the connection is lost or the write times out.
         """
-        self._sock.settimeout(patience)
+        self._sock.settimeout(timeout)
         try:
             self._sock.sendall(raw)
         except TimeoutError:
             raise
         except OSError:
-            self._note_drop()
+            self._record_drop()
             raise
 
-    def await_head(self, patience: float) -> None:
-        """Read the head of the answer; after a silence it may be tried again.
+    def await_head(self, timeout: float) -> None:
+        """Read the head of the response; may be repeated after a timeout.
 
-        :param patience: longest silence, seconds.
-        :raises OSError: when the connection is lost or silent.
+        :param timeout: inactivity timeout, seconds.
+        :raises OSError: if the connection is lost or times out.
         """
         try:
             while not self._has_head():
-                self._receive(patience)
+                self._receive(timeout)
         except TimeoutError:
             raise
         except OSError:
-            self._note_drop()
+            self._record_drop()
             raise
 
-    def read_line(self, patience: float) -> bytes:
-        """Read one line of the body.
+    def read_line(self, timeout: float) -> bytes:
+        """Read one line of the response body.
 
-        :param patience: longest silence, seconds.
-        :returns: the line with its end, what is left at the end of the
-            body, empty after it.
-        :raises OSError: when the body breaks off.
+        :param timeout: inactivity timeout, seconds.
+        :returns: the line with its terminator; an unterminated last line as it
+            is; empty after the end of the body.
+        :raises OSError: if the body is truncated or times out.
         """
         buffer = self._parser._body_buffer  # noqa: SLF001, WPS437
         while True:
@@ -172,32 +172,33 @@
                 del buffer[: end + 1]  # noqa: WPS420
                 return line
             if self.is_whole:
-                rest = bytes(buffer)
+                remainder = bytes(buffer)
                 buffer.clear()
-                return rest
-            self._receive(patience)
+                return remainder
+            self._receive(timeout)
 
-    def read(self, patience: float) -> bytes:
-        """Read the rest of the body.
+    def read(self, timeout: float) -> bytes:
+        """Read the rest of the response body.
 
-        :param patience: longest silence, seconds.
+        :param timeout: inactivity timeout, seconds.
         :returns: the bytes.
-        :raises OSError: when the body breaks off.
+        :raises OSError: if the body is truncated or times out.
         """
         while not self.is_whole:
-            self._receive(patience)
+            self._receive(timeout)
         buffer = self._parser._body_buffer  # noqa: SLF001, WPS437
         body = bytes(buffer)
         buffer.clear()
         return body
 
     def abort(self) -> None:
-        """Break the connection, also under a greenlet that reads it.
+        """Reset the connection, even while another greenlet reads from it.
 
-        What was written and not yet delivered is discarded: held up by a cut,
-        it reached an upstream 6 s later, which ran it for nobody.
+        Data that was written and not yet delivered is discarded. Otherwise a
+        request delayed by a network partition could still arrive: one reached
+        an upstream 6 s later, which ran it although its caller had gone.
         """
-        self._is_spoilt = True
+        self._is_unusable = True
         try:
             self._sock.setsockopt(
                 socket.SOL_SOCKET,
@@ -206,43 +207,43 @@
             )
             self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # The peer was faster; the reader sees the same end.
+            # The peer closed the connection first; the reader fails as well.
             return
 
     def close(self) -> None:
-        """Let go; only a clean connection after a whole answer is kept."""
+        """Return the connection to the pool if it can be reused, or close it."""
         if self._is_closed:
             return
         self._is_closed = True
-        is_clean = not (self._is_spoilt or self._ended_by_close)
+        is_clean = not (self._is_unusable or self._is_closed_by_peer)
         if is_clean and not self._parser.should_close():
             self._pool.keep(self._address, self._sock)
         else:
             self._sock.close()
 
-    def _note_drop(self) -> None:
-        """Learn from an idle connection that broke before any answer."""
-        is_early = not self._parser.headers_complete
-        if self._rested and is_early and not self._is_spoilt:
-            self._pool.note_drop(self._address, self._rested)
+    def _record_drop(self) -> None:
+        """Report a reused connection that failed before any response."""
+        has_no_head = not self._parser.headers_complete
+        if self._idle_seconds and has_no_head and not self._is_unusable:
+            self._pool.record_drop(self._address, self._idle_seconds)
 
     def _has_head(self) -> bool:
         return bool(
-            self._parser.headers_complete and self.status >= INTERIM_STATUSES,
+            self._parser.headers_complete and self.status >= FIRST_FINAL_STATUS,
         )
 
-    def _receive(self, patience: float) -> None:
-        self._sock.settimeout(max(patience, LEAST_PATIENCE_SECONDS))
+    def _receive(self, timeout: float) -> None:
+        self._sock.settimeout(max(timeout, MIN_TIMEOUT_SECONDS))
         data = self._sock.recv(READ_BYTES)
-        had_whole = self.is_whole
+        was_complete = self.is_whole
         try:
             self._parser.feed(data)
         except HTTPParseError as error:
-            self._is_spoilt = True
+            self._is_unusable = True
             if not self.is_whole:
                 raise BrokenAnswerError(str(error)) from error
-        if not data and not had_whole:
-            self._ended_by_close = True
+        if not data and not was_complete:
+            self._is_closed_by_peer = True
             if not self.is_whole:
                 raise BrokenAnswerError('the connection ended early')
 
@@ -253,13 +254,13 @@
     headers: Iterator[tuple[str, str]] | list[tuple[str, str]],
     body: bytes = b'',
 ) -> bytes:
-    """Write a request as it goes on the wire.
+    """Encode an HTTP/1.1 request.
 
     :param method: HTTP method.
-    :param target: path with query, as it came.
+    :param target: path with query, still percent-encoded.
     :param headers: names and values; ``Content-Length`` is added.
-    :param body: whole body.
-    :returns: the bytes.
+    :param body: complete body.
+    :returns: the encoded request.
     """
     lines = [f'{method} {target} HTTP/1.1']
     lines += [f'{name}: {value}' for name, value in headers]
@@ -268,11 +269,11 @@
 
 
 def watch_close(sock: Any, on_close: Any) -> gevent.Greenlet[..., None]:
-    """Call back when the other side closes a connection.
+    """Start a greenlet that calls back when the peer closes a connection.
 
-    :param sock: the connection; nothing is read off it.
-    :param on_close: called once; not called where data comes first.
-    :returns: the greenlet that watches.
+    :param sock: the connection; no data is consumed.
+    :param on_close: called once; not called if data arrives first.
+    :returns: the greenlet.
     """
     return gevent.spawn(_watch_close, sock, on_close)
 
--- a/src/wigeonpier/web/pool.py
+++ b/src/wigeonpier/web/pool.py
@@ -1,4 +1,4 @@
-"""Connections to other processes, kept by address while they are clean."""
+"""Pool of persistent HTTP connections to other processes, by address."""
 
 from __future__ import annotations
 
@@ -20,28 +20,31 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A healthy connection within a region opens in a few ms.
+# Healthy connections within a region are established in a few ms.
 CONNECT_SECONDS = 0.4
-# Of a caller whose time ends just now; a timeout is never below zero.
-LEAST_SECONDS = 0.001
-# The kernel finds a silent peer after IDLE + INTERVAL * COUNT seconds, so
-# that a watch may wait long without hiding a dead connection.
+# Lower bound for callers whose deadline has just passed; a negative timeout
+# is invalid.
+MIN_CONNECT_SECONDS = 0.001
+# The kernel detects an unresponsive peer after IDLE + INTERVAL * COUNT
+# seconds, so that a long-running watch notices a dead connection.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_COUNT = 2
-UNACKNOWLEDGED_MS = 2500
-# Upstreams close idle connections; one that rested longer is not trusted.
+UNACKNOWLEDGED_TIMEOUT_MS = 2500
+# Upstreams close idle connections; connections that were idle longer than
+# this are not reused.
 LONGEST_IDLE_SECONDS = 4.0
-MOST_IDLE = 32
-# An end that dropped a connection after some rest drops others as well; half
-# of that rest is safe.
-DROP_MARGIN = 0.5
-# Such an end is ill for some seconds, or was restarted.
-DROP_MEMORY_SECONDS = 15.0
+MAX_IDLE_CONNECTIONS = 32
+# A peer that dropped an idle connection drops others as well. Connections to
+# it are reused only up to this share of the idle time at which it did.
+DROP_IDLE_SHARE = 0.5
+# The limit applies for a while only: such a peer was restarted or is faulty
+# for some seconds.
+DROP_RETENTION_SECONDS = 15.0
 
 
 class Listening(StrEnum):
-    """What a new connection to an address met."""
+    """Outcome of opening a connection to an address."""
 
     accepted = 'accepted'
     refused = 'refused'
@@ -49,51 +52,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Drop:
-    """How long connections to an address may rest for now.
+class _IdleLimit:
+    """Temporary limit of the idle time of connections to an address.
 
-    :param longest_rest: seconds.
-    :param until: how long that holds, seconds of the steady clock.
+    :param max_idle_seconds: longest idle time of a reused connection, seconds.
+    :param until: when the limit expires, monotonic clock, seconds.
     """
 
-    longest_rest: float
+    max_idle_seconds: float
     until: float
 
 
-def _hold_nothing(_exchange: Exchange) -> None:
-    """Leave a call alone until it has its answer."""
+def _ignore_exchange(_exchange: Exchange) -> None:
+    """Do nothing; default callback of :meth:`ConnectionPool.call`."""
 
 
 class ConnectionPool:
-    """Connections to other processes, kept by address while clean."""
+    """Persistent connections to other processes, by address.
+
+    Only connections without unread data or errors are reused.
+    """
 
     def __init__(self) -> None:
-        """Begin with no connections."""
+        """Create an empty pool."""
         self._idle: defaultdict[str, list[tuple[Any, float]]] = defaultdict(
             list,
         )
-        self._drops: dict[str, _Drop] = {}
+        self._idle_limits: dict[str, _IdleLimit] = {}
         self.opened = 0
 
     def exchange(
         self,
         address: str,
         raw: bytes,
-        patience: float,
+        timeout: float,
     ) -> Result[Exchange, CallFailure]:
-        """Send a request once and read the head of its answer.
+        """Send a request once and read the head of the response.
 
         :param address: ``host:port``.
-        :param raw: the request as it goes on the wire.
-        :param patience: longest silence, seconds.
-        :returns: the exchange; ``not_sent`` only where nothing was sent.
+        :param raw: the encoded request.
+        :param timeout: inactivity timeout, seconds.
+        :returns: the exchange; ``not_sent`` only if nothing was sent.
         """
-        opened = self.begin(address, patience)
+        opened = self.begin(address, timeout)
         if isinstance(opened, Err):
             return opened
         current = opened.ok_value
         try:
-            current.send(raw, patience)
+            current.send(raw, timeout)
         except OSError:
             current.abort()
             current.close()
@@ -103,24 +109,26 @@
     def begin(
         self,
         address: str,
-        patience: float,
-        longest_rest: float = LONGEST_IDLE_SECONDS,
+        timeout: float,
+        max_idle_seconds: float = LONGEST_IDLE_SECONDS,
     ) -> Result[Exchange, CallFailure]:
-        """Take a connection without sending anything yet.
+        """Reuse or open a connection without sending anything.
 
         :param address: ``host:port``.
-        :param patience: longest wait for a new connection, seconds.
-        :param longest_rest: a kept one that rested longer is not used, for
-            what cannot be sent again if it breaks.
-        :returns: the exchange, ``not_sent`` where none could be made.
+        :param timeout: connect timeout, seconds.
+        :param max_idle_seconds: idle connections older than this are not
+            reused; for requests that cannot be resent if the connection
+            breaks.
+        :returns: the exchange, or ``not_sent`` if no connection could be
+            established.
         """
-        idle = self._take_idle(address, longest_rest)
+        idle = self._take_idle(address, max_idle_seconds)
         if idle is not None:
             return Ok(Exchange(self, address, *idle))
         try:
             sock = _connect(
                 address,
-                max(LEAST_SECONDS, min(patience, CONNECT_SECONDS)),
+                max(MIN_CONNECT_SECONDS, min(timeout, CONNECT_SECONDS)),
             )
         except OSError:
             return Err(CallFailure.not_sent)
@@ -131,40 +139,41 @@
         self,
         address: str,
         raw: bytes,
-        patience: float,
-        on_begin: Callable[[Exchange], object] = _hold_nothing,
+        timeout: float,
+        on_open: Callable[[Exchange], object] = _ignore_exchange,
     ) -> Result[Reply, CallFailure]:
-        """Send a request once and read its whole answer.
+        """Send a request once and read the complete response.
 
         :param address: ``host:port``.
-        :param raw: the request as it goes on the wire.
-        :param patience: longest silence, seconds.
-        :param on_begin: called with the exchange, for who may break it off.
-        :returns: the answer.
+        :param raw: the encoded request.
+        :param timeout: inactivity timeout, seconds.
+        :param on_open: called with the exchange before the request is sent,
+            so that the caller can abort it from another greenlet.
+        :returns: the response.
         """
-        opened = self.begin(address, patience)
+        opened = self.begin(address, timeout)
         if isinstance(opened, Err):
             return opened
         current = opened.ok_value
-        on_begin(current)
+        on_open(current)
         try:
-            current.send(raw, patience)
-            return Ok(Reply(current.status, current.read(patience)))
+            current.send(raw, timeout)
+            return Ok(Reply(current.status, current.read(timeout)))
         except OSError:
             current.abort()
             return Err(CallFailure.lost)
         finally:
             current.close()
 
-    def find_listener(self, address: str, patience: float) -> Listening:
-        """Find out whether a process listens at an address.
+    def find_listener(self, address: str, timeout: float) -> Listening:
+        """Check whether a process listens on an address.
 
         :param address: ``host:port``.
-        :param patience: longest wait, seconds.
-        :returns: what a new connection met; it is kept where it was accepted.
+        :param timeout: connect timeout, seconds.
+        :returns: the outcome; an accepted connection is added to the pool.
         """
         try:
-            sock = _connect(address, patience)
+            sock = _connect(address, timeout)
         except ConnectionRefusedError:
             return Listening.refused
         except OSError:
@@ -174,13 +183,13 @@
         return Listening.accepted
 
     def keep(self, address: str, sock: Any) -> None:
-        """Keep a clean connection for the next request.
+        """Return a connection to the pool for reuse.
 
         :param address: ``host:port``.
         :param sock: the connection.
         """
         idle = self._idle[address]
-        if len(idle) >= MOST_IDLE:
+        if len(idle) >= MAX_IDLE_CONNECTIONS:
             sock.close()
         else:
             idle.append((sock, time.monotonic()))
@@ -193,54 +202,54 @@
         for sock, _since in self._idle.pop(address, []):
             sock.close()
 
-    def note_drop(self, address: str, rested: float) -> None:
-        """Learn that the other end had dropped an idle connection.
+    def record_drop(self, address: str, idle_seconds: float) -> None:
+        """Limit the idle time for a peer that dropped an idle connection.
 
         :param address: ``host:port``.
-        :param rested: how long the connection had been idle, seconds.
+        :param idle_seconds: how long the connection had been idle.
         """
         self.forget(address)
-        self._drops[address] = _Drop(
-            rested * DROP_MARGIN,
-            time.monotonic() + DROP_MEMORY_SECONDS,
+        self._idle_limits[address] = _IdleLimit(
+            idle_seconds * DROP_IDLE_SHARE,
+            time.monotonic() + DROP_RETENTION_SECONDS,
         )
         log_event(
             Event.connection_dropped,
             address=address,
-            rested=round(rested, 3),
+            rested=round(idle_seconds, 3),
         )
 
-    def _limit_rest(self, address: str) -> float:
-        drop = self._drops.get(address)
-        if drop is None:
+    def _get_max_idle(self, address: str) -> float:
+        idle_limit = self._idle_limits.get(address)
+        if idle_limit is None:
             return LONGEST_IDLE_SECONDS
-        if drop.until < time.monotonic():
-            self._drops.pop(address)
+        if idle_limit.until < time.monotonic():
+            self._idle_limits.pop(address)
             return LONGEST_IDLE_SECONDS
-        return drop.longest_rest
+        return idle_limit.max_idle_seconds
 
     def _take_idle(
         self,
         address: str,
-        longest_rest: float,
+        max_idle_seconds: float,
     ) -> tuple[Any, float] | None:
-        limit = min(longest_rest, self._limit_rest(address))
+        limit = min(max_idle_seconds, self._get_max_idle(address))
         idle = self._idle[address]
         while idle:
             sock, since = idle.pop()
-            rested = time.monotonic() - since
-            if rested < limit and not _has_news(sock):
-                return sock, rested
+            idle_seconds = time.monotonic() - since
+            if idle_seconds < limit and not _has_pending_data(sock):
+                return sock, idle_seconds
             sock.close()
         return None
 
 
-def _connect(address: str, patience: float) -> Any:
+def _connect(address: str, timeout: float) -> Any:
     host, _, port = address.rpartition(':')
     sock = green.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         _set_options(sock)
-        sock.settimeout(patience)
+        sock.settimeout(timeout)
         sock.connect((host, int(port)))
     except OSError:
         sock.close()
@@ -255,14 +264,14 @@
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
         (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
         (socket.TCP_KEEPCNT, KEEPALIVE_COUNT),
-        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, setting)
 
 
-def _has_news(sock: Any) -> bool:
-    """Tell whether bytes or an end came on an idle connection."""
-    # Not by select, which takes no descriptor above 1,023.
+def _has_pending_data(sock: Any) -> bool:
+    """Check whether an idle connection has unread data or was closed."""
+    # select() is not used: it does not support descriptors above 1,023.
     try:
         sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)  # noqa: SLF001, WPS437
     except BlockingIOError:
--- a/tests/web/test_exchange.py
+++ b/tests/web/test_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its answer on a connection of our own."""
+"""Tests of single exchanges and of the connection pool."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from wigeonpier.web.pool import ConnectionPool
 
 REQUEST = make_request('GET', '/', [('Host', 'h')])
-# More than the peer's window takes, less than our side holds.
-HELD_UP_BYTES = 200_000
-WHOLE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
+# More than the receive window of the peer, less than the local send buffer.
+BUFFERED_BYTES = 200_000
+COMPLETE_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 
 
 class Peer:
-    """Sends given bytes to whoever asks, then waits or closes."""
+    """Server that sends fixed responses, then waits or closes."""
 
     def __init__(self, *answers: bytes, closes: bool = False) -> None:
-        """Answer each request of a connection with the next bytes."""
+        """Answer each request of a connection with the next response."""
         self.connections = 0
         self._answers = answers
         self._closes = closes
@@ -44,26 +44,26 @@
             sock.recv(65536)
 
 
-def test_a_clean_connection_is_used_again() -> None:
-    peer = Peer(WHOLE, WHOLE)
+def test_a_clean_connection_is_reused() -> None:
+    peer = Peer(COMPLETE_RESPONSE, COMPLETE_RESPONSE)
     pool = ConnectionPool()
     for _call in range(2):
         assert pool.call(peer.address, REQUEST, 1).unwrap().body == b'ok'
     assert peer.connections == 1
 
 
-@pytest.mark.parametrize('extra', [WHOLE, b'garbage'])
-def test_bytes_after_an_answer_reach_nobody(extra: bytes) -> None:
-    """A second answer right behind the first belongs to no request."""
-    peer = Peer(WHOLE + extra)
+@pytest.mark.parametrize('extra', [COMPLETE_RESPONSE, b'garbage'])
+def test_bytes_after_a_response_are_discarded(extra: bytes) -> None:
+    """Extra bytes after a response must not reach the next request."""
+    peer = Peer(COMPLETE_RESPONSE + extra)
     pool = ConnectionPool()
     for _call in range(2):
         assert pool.call(peer.address, REQUEST, 1).unwrap().body == b'ok'
     assert peer.connections == 2
 
 
-def test_bytes_that_come_late_reach_nobody() -> None:
-    peer = Peer(WHOLE)
+def test_bytes_that_arrive_late_are_discarded() -> None:
+    peer = Peer(COMPLETE_RESPONSE)
     pool = ConnectionPool()
     opened = pool.exchange(peer.address, REQUEST, 1).unwrap()
     opened.read(1)
@@ -73,31 +73,31 @@
     assert pool.call(peer.address, REQUEST, 1).unwrap().body == b'ok'
 
 
-def test_an_answer_that_ends_early_is_lost() -> None:
+def test_a_truncated_response_is_lost() -> None:
     peer = Peer(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok', closes=True)
     called = ConnectionPool().call(peer.address, REQUEST, 1)
     assert called == Err(CallFailure.lost)
 
 
-def test_an_answer_without_length_ends_with_its_connection() -> None:
+def test_a_response_without_length_ends_with_the_connection() -> None:
     peer = Peer(b'HTTP/1.1 200 OK\r\n\r\nok', closes=True)
     opened = ConnectionPool().exchange(peer.address, REQUEST, 1).unwrap()
     assert opened.read(1) == b'ok'
     assert opened.is_unframed
 
 
-def test_a_silent_peer_is_given_up_in_time() -> None:
+def test_an_unresponsive_peer_times_out() -> None:
     peer = Peer(b'')
     called = ConnectionPool().call(peer.address, REQUEST, 0.1)
     assert called == Err(CallFailure.lost)
 
 
-def test_nobody_listening_is_not_sent() -> None:
+def test_a_refused_connection_is_not_sent() -> None:
     called = ConnectionPool().call('127.0.0.1:1', REQUEST, 0.5)
     assert called == Err(CallFailure.not_sent)
 
 
-def test_events_are_taken_whole_or_not_at_all() -> None:
+def test_a_truncated_event_is_not_delivered() -> None:
     head = b'HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n'
     peer = Peer(head + b'id: 1\ndata: a\n\nid: 2\ndata', closes=True)
     opened = ConnectionPool().exchange(peer.address, REQUEST, 1).unwrap()
@@ -109,39 +109,41 @@
         reader.read(1)
 
 
-def test_a_caller_that_leaves_is_seen() -> None:
-    gone = []
+def test_a_closed_connection_is_detected() -> None:
+    close_calls = []
     server = StreamServer(
         ('127.0.0.1', 0),
-        lambda sock, _address: watch_close(sock, lambda: gone.append(1)).join(),
+        lambda sock, _address: watch_close(
+            sock, lambda: close_calls.append(1)
+        ).join(),
     )
     server.start()
     caller = gevent.socket.create_connection(('127.0.0.1', server.server_port))
     gevent.sleep(0.05)
-    assert not gone
+    assert not close_calls
     caller.close()
     gevent.sleep(0.05)
-    assert gone
+    assert close_calls
 
 
-def test_descriptors_above_1023_are_used_again() -> None:
-    """An entry holds thousands of connections; select() takes none of them."""
+def test_connections_with_descriptors_above_1023_are_reused() -> None:
+    """An entry has thousands of connections; select() fails above 1,023."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 4096), hard))
     with ExitStack() as stack:
         stack.callback(resource.setrlimit, resource.RLIMIT_NOFILE, (soft, hard))
         for _number in range(1050):
             stack.enter_context(open('/dev/null', 'rb'))
-        peer = Peer(WHOLE, WHOLE)
+        peer = Peer(COMPLETE_RESPONSE, COMPLETE_RESPONSE)
         pool = ConnectionPool()
         for _call in range(2):
             assert pool.call(peer.address, REQUEST, 1).unwrap().body == b'ok'
         assert peer.connections == 1
 
 
-def test_an_idle_connection_that_was_dropped_teaches_the_pool() -> None:
-    """The other end had forgotten it; others there are not trusted either."""
-    peer = Peer(WHOLE, closes=False)
+def test_a_dropped_idle_connection_limits_the_idle_time() -> None:
+    """The peer dropped one idle connection, so others to it are not reused."""
+    peer = Peer(COMPLETE_RESPONSE, closes=False)
     pool = ConnectionPool()
     for _call in range(2):
         assert pool.call(peer.address, REQUEST, 1).is_ok()
@@ -156,42 +158,42 @@
         pool.begin(peer.address, 1).unwrap().abort()
         assert pool.opened == opened + 1
         pool.forget(peer.address)
-        pool._drops.clear()
+        pool._idle_limits.clear()
 
 
-def test_what_cannot_be_sent_again_takes_no_rested_connection() -> None:
-    peer = Peer(WHOLE, WHOLE)
+def test_a_connection_above_the_idle_limit_is_not_reused() -> None:
+    peer = Peer(COMPLETE_RESPONSE, COMPLETE_RESPONSE)
     pool = ConnectionPool()
     assert pool.call(peer.address, REQUEST, 1).is_ok()
     gevent.sleep(0.1)
-    begun = pool.begin(peer.address, 1, longest_rest=0.05).unwrap()
-    begun.abort()
+    opened = pool.begin(peer.address, 1, max_idle_seconds=0.05).unwrap()
+    opened.abort()
     assert pool.opened == 2
 
 
-def test_what_was_given_up_is_not_delivered_later() -> None:
-    """Bytes held up on the way had run at an upstream seconds later."""
+def test_an_aborted_request_is_not_delivered_later() -> None:
+    """Guards against a delayed request that ran at an upstream later."""
     accepted = []
 
-    def hold(sock, _address) -> None:
+    def accept_without_reading(sock, _address) -> None:
         accepted.append(sock)
         gevent.sleep(2)
 
-    server = StreamServer(('127.0.0.1', 0), hold)
+    server = StreamServer(('127.0.0.1', 0), accept_without_reading)
     server.init_socket()
     server.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     server.start()
     address = f'127.0.0.1:{server.server_port}'
-    given_up = ConnectionPool().begin(address, 1).unwrap()
-    given_up.write(bytes(HELD_UP_BYTES), 1)
+    aborted = ConnectionPool().begin(address, 1).unwrap()
+    aborted.write(bytes(BUFFERED_BYTES), 1)
     gevent.sleep(0.05)
-    given_up.abort()
-    given_up.close()
+    aborted.abort()
+    aborted.close()
     with pytest.raises(ConnectionResetError):
         read_all(accepted[0])
 
 
 def read_all(sock) -> None:
-    """Read until the other side ends."""
+    """Read until the peer closes the connection."""
     while sock.recv(65536):
         gevent.sleep(0)
