--- a/src/wigeonpier/web/client.py
+++ b/src/wigeonpier/web/client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to peers, upstreams and the platform."""
+"""HTTP client for calls to peers, upstreams and the platform."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     from collections.abc import Iterator
 
 CONNECT_SECONDS = 1.0
-MOST_CONNECTIONS = 2048
-PATIENCE_STEPS = (1.0, 5.0, 30.0, 60.0, 120.0)
-LONGEST_PATIENCE = 600.0
+MAX_CONNECTIONS = 2048
+TIMEOUT_STEPS_SECONDS = (1.0, 5.0, 30.0, 60.0, 120.0)
+MAX_TIMEOUT_SECONDS = 600.0
 FIRST_ERROR_STATUS = 300
 
 Model = TypeVar('Model')
 
 
 class CallFailure(StrEnum):
-    """Why a call gave no answer."""
+    """Why a call got no response."""
 
     not_sent = 'not_sent'
     lost = 'lost'
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer.
+    """A complete response.
 
     :param status: HTTP status.
-    :param body: its bytes.
+    :param body: response body.
     """
 
     status: int
@@ -43,64 +43,64 @@
 
     @property
     def is_good(self) -> bool:
-        """Tell whether the status is one of success."""
+        """Check whether the status is below 300."""
         return self.status < FIRST_ERROR_STATUS
 
     def decode(self, model: type[Model]) -> Model:
-        """Validate the body.
+        """Decode and validate the JSON body.
 
-        :param model: what it has to be.
-        :returns: the value.
+        :param model: expected type.
+        :returns: the decoded value.
         """
         return msgspec.json.decode(self.body, type=model)
 
 
 class StreamReply:
-    """An answer whose body is read as it comes."""
+    """A response whose body is read as it arrives."""
 
     def __init__(self, response: Any) -> None:
-        """Keep the library's response."""
+        """Wrap a response of the HTTP library."""
         self._response = response
         self.status = int(response.get_code())
 
     @property
     def head_size(self) -> int:
-        """Count the bytes of both heads, about as they were on the wire."""
-        heads = [
+        """Estimate the size of the request and response heads, bytes."""
+        header_sizes = [
             len(name) + len(text) + 4 for name, text in self._response.items()
         ]
-        return len(self._response._sent_request) + sum(heads)  # noqa: SLF001, WPS437
+        return len(self._response._sent_request) + sum(header_sizes)  # noqa: SLF001, WPS437
 
     def get_header(self, name: str) -> str:
         """Read one header.
 
-        :param name: its name.
-        :returns: its value, empty where it is absent.
+        :param name: header name.
+        :returns: its value, empty if it is absent.
         """
         return str(self._response.get(name) or '')
 
     def iterate_lines(self) -> Iterator[bytes]:
-        """Read line by line as they arrive.
+        """Read the body line by line as it arrives.
 
-        :yields: lines with their end.
-        :raises OSError: when the connection is lost before the end.
+        :yields: lines with their terminator.
+        :raises OSError: if the connection is lost before the end.
         """
         while line := self._response.readline(b'\n'):
             yield bytes(line)
 
     def read(self) -> bytes:
-        """Read to the end.
+        """Read the rest of the body.
 
-        :returns: the rest of the body.
-        :raises OSError: when the connection is lost before the end.
+        :returns: the bytes.
+        :raises OSError: if the connection is lost before the end.
         """
         body = bytes(self._response.read())
         if not self._response.message_complete:
-            raise ConnectionResetError('the body ended early')
+            raise ConnectionResetError('response body is truncated')
         return body
 
     def close(self) -> None:
-        """Let go; the connection is reused only after a whole answer."""
+        """Release the connection; it is reused only after a complete response."""
         response = self._response
         if response.message_complete:
             response.release()
@@ -111,10 +111,10 @@
 
 
 class HttpCaller:
-    """Connections to other processes, kept by address and patience."""
+    """Client with persistent connections, grouped by address and timeout."""
 
     def __init__(self, headers: dict[str, str] | None = None) -> None:
-        """Send the headers with each call."""
+        """Create a client that sends the headers with each call."""
         self.bytes_moved = 0
         self._headers = headers or {}
         self._clients: dict[tuple[str, float], HTTPClient] = {}
@@ -129,15 +129,16 @@
         headers: dict[str, str] | None = None,
         patience: float = 5,
     ) -> Result[StreamReply, CallFailure]:
-        """Send a request once and read the head of its answer.
+        """Send a request once and read the head of the response.
 
         :param address: ``host:port``.
         :param method: HTTP method.
         :param path: path with query.
-        :param body: whole body.
-        :param headers: further headers.
-        :param patience: longest silence on the connection, seconds.
-        :returns: the answer; ``not_sent`` only where no connection was made.
+        :param body: request body.
+        :param headers: additional headers.
+        :param patience: network timeout, seconds.
+        :returns: the response; ``not_sent`` only if the connection was
+            refused.
         """
         client = self._get_client(address, patience)
         try:
@@ -163,15 +164,15 @@
         headers: dict[str, str] | None = None,
         patience: float = 5,
     ) -> Result[Reply, CallFailure]:
-        """Send a request once and read its whole answer.
+        """Send a request once and read the complete response.
 
         :param address: ``host:port``.
         :param method: HTTP method.
         :param path: path with query.
-        :param body: whole body.
-        :param headers: further headers.
-        :param patience: longest silence on the connection, seconds.
-        :returns: the answer.
+        :param body: request body.
+        :param headers: additional headers.
+        :param patience: network timeout, seconds.
+        :returns: the response.
         """
         opened = self.open(
             address,
@@ -185,14 +186,14 @@
             return opened
         stream = opened.ok_value
         try:
-            return Ok(self._read_whole(stream, body))
+            return Ok(self._read_reply(stream, body))
         except (OSError, HTTPParseError):
             return Err(CallFailure.lost)
         finally:
             stream.close()
 
     def forget(self, address: str) -> None:
-        """Close the connections to an address that is gone.
+        """Close the connections to an address that is no longer used.
 
         :param address: ``host:port``.
         """
@@ -200,7 +201,7 @@
         for key in keys:
             self._clients.pop(key).close()
 
-    def _read_whole(self, stream: StreamReply, sent: bytes) -> Reply:
+    def _read_reply(self, stream: StreamReply, sent: bytes) -> Reply:
         reply = Reply(stream.status, stream.read())
         self.bytes_moved += stream.head_size + len(sent) + len(reply.body)
         return reply
@@ -215,24 +216,25 @@
                 int(port),
                 connection_timeout=CONNECT_SECONDS,
                 network_timeout=patience,
-                concurrency=MOST_CONNECTIONS,
+                concurrency=MAX_CONNECTIONS,
             )
-            # The library resends some methods on a lost connection; only
-            # our own retry policy may decide that.
+            # The library resends some methods after a lost connection. This
+            # turns it off; only the retry policy may decide to resend.
             client._connection_pool.size = -1  # noqa: SLF001, WPS437
             self._clients[key] = client
         return client
 
 
 def round_patience(seconds: float) -> float:
-    """Round the time that is left up to one of a few values.
+    """Round a timeout up to one of a few values.
 
-    Connections are kept by patience, so that a few values share them.
+    Connections are grouped by timeout; few distinct values let calls share
+    them.
 
     :param seconds: time until a deadline.
-    :returns: longest silence on the connection, seconds.
+    :returns: network timeout, seconds.
     """
     return next(
-        (step for step in PATIENCE_STEPS if seconds <= step),
-        LONGEST_PATIENCE,
+        (step for step in TIMEOUT_STEPS_SECONDS if seconds <= step),
+        MAX_TIMEOUT_SECONDS,
     )
