--- a/src/wigeonpier/web/sse.py
+++ b/src/wigeonpier/web/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events of completion streams: read, resume, assemble."""
+"""Server-sent events of completion streams: parse, resume and join."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-DATA = b'data: '
-DONE = b'[DONE]'
+DATA_PREFIX = b'data: '
+END_MARK = b'[END_MARK]'
 CHAT_CHUNK = 'chat.completion.chunk'
 CHAT = 'chat.completion'
 TEXT = 'text_completion'
@@ -28,11 +28,11 @@
 
 
 class TokenUsage(msgspec.Struct):
-    """Tokens that an answer took.
+    """Token counts of a completion.
 
-    :param prompt_tokens: tokens read.
+    :param prompt_tokens: tokens of the prompt.
     :param completion_tokens: tokens generated.
-    :param total_tokens: both.
+    :param total_tokens: sum of both.
     """
 
     prompt_tokens: int = 0
@@ -50,9 +50,9 @@
 
 
 class Whole(msgspec.Struct):
-    """An answer that is not streamed, with its usage.
+    """A completion that is not streamed; only its usage is decoded.
 
-    :param usage: tokens that it took.
+    :param usage: token counts.
     """
 
     usage: TokenUsage = msgspec.field(default_factory=TokenUsage)
@@ -63,13 +63,13 @@
 
 @dataclass(slots=True)
 class Assembler:
-    """Puts the parts of a stream together.
+    """Joins the chunks of a completion stream.
 
-    :param parts: texts in order.
-    :param head: first chunk, which names the answer.
-    :param usage: what the engine counted.
-    :param finish_reason: why the answer ended.
-    :param is_whole: whether the end was seen.
+    :param parts: texts of the chunks in order.
+    :param head: first chunk with an id; gives id, model and kind.
+    :param usage: token counts reported by the engine.
+    :param finish_reason: why the completion ended.
+    :param is_whole: whether the end mark was received.
     """
 
     parts: list[str] = field(default_factory=list)
@@ -80,19 +80,19 @@
 
     @property
     def text(self) -> str:
-        """Give the text so far."""
+        """Return the text received so far."""
         return ''.join(self.parts)
 
     def feed(self, line: bytes) -> bool:
-        """Take in one line.
+        """Process one line of the stream.
 
         :param line: line of the stream.
-        :returns: whether it carried text.
+        :returns: whether it contained text.
         """
-        if not line.startswith(DATA):
+        if not line.startswith(DATA_PREFIX):
             return False
-        payload = line[len(DATA) :].strip()
-        if payload == DONE:
+        payload = line[len(DATA_PREFIX) :].strip()
+        if payload == END_MARK:
             self.is_whole = True
             return False
         chunk = _DECODER.decode(payload)
@@ -107,9 +107,9 @@
         return False
 
     def make_body(self) -> dict[str, Any]:
-        """Make the answer as if it had not been streamed.
+        """Build the body of the equivalent response without streaming.
 
-        :returns: the completion.
+        :returns: the completion object.
         """
         is_chat = self.head.object == CHAT_CHUNK
         if is_chat:
@@ -131,28 +131,30 @@
 
 
 def is_text_line(line: bytes) -> bool:
-    """Tell whether a line carries data, without decoding it.
+    """Check whether a line contains a chunk, without decoding it.
 
     :param line: line of a stream.
-    :returns: false for blanks and for the end mark.
+    :returns: false for blank lines and the end mark.
     """
-    return line.startswith(DATA) and not line.startswith(DATA + DONE)
+    return line.startswith(DATA_PREFIX) and not line.startswith(
+        DATA_PREFIX + END_MARK
+    )
 
 
 def is_end_line(line: bytes) -> bool:
-    """Tell whether a line marks the end of a whole stream.
+    """Check whether a line is the end mark of a complete stream.
 
     :param line: line of a stream.
     :returns: true for the end mark.
     """
-    return line.startswith(DATA + DONE)
+    return line.startswith(DATA_PREFIX + END_MARK)
 
 
 def assemble(lines: Iterable[bytes]) -> Assembler:
-    """Put recorded lines together.
+    """Join the chunks of recorded lines.
 
     :param lines: lines of a stream in order.
-    :returns: what they hold.
+    :returns: the joined chunks.
     """
     assembler = Assembler()
     for line in lines:
@@ -161,12 +163,12 @@
 
 
 def continue_body(raw: bytes, text: str, tokens: int) -> bytes:
-    """Ask for the rest of an answer of which a part was delivered.
+    """Create the request that resumes a partly delivered completion.
 
-    :param raw: the request as it came.
-    :param text: the part that was delivered.
-    :param tokens: how many tokens that was.
-    :returns: the request for the rest.
+    :param raw: body of the original request.
+    :param text: text that was delivered.
+    :param tokens: number of tokens that were delivered.
+    :returns: body of the request for the rest.
     """
     body = msgspec.json.decode(raw)
     body['continuation'] = {'text': text, 'tokens': tokens}
