--- a/src/wigeonpier/telemetry/events.py
+++ b/src/wigeonpier/telemetry/events.py
@@ -1,159 +1,287 @@
-"""The catalogue of numbered log events."""
+"""Catalogue of the numbered log events."""
 
 from __future__ import annotations
 
 from enum import Enum
 from typing import Final
 
-NOTE: Final = 'info'
-ODD: Final = 'warning'
-BAD: Final = 'error'
+INFO_LEVEL: Final = 'info'
+WARNING_LEVEL: Final = 'warning'
+ERROR_LEVEL: Final = 'error'
 
 
 class Event(Enum):
-    """Every event that a process logs: number, level and meaning."""
+    """Every event that a process logs, with number, level and meaning."""
 
-    process_started = (100, NOTE, 'A process listens on its address.')
-    process_leaving = (101, NOTE, 'A process takes no new work and drains.')
-    process_stopped = (102, NOTE, 'A process has drained and ends.')
-    settings_reloaded = (105, NOTE, 'Settings were read anew.')
-    settings_refused = (106, BAD, 'New settings are not usable; old ones stay.')
-    loop_failed = (104, BAD, 'A round of a controller failed.')
-    work_cut = (103, BAD, 'The drain limit passed with work in hand.')
+    process_started = (100, INFO_LEVEL, 'A process listens on its address.')
+    process_leaving = (
+        101,
+        INFO_LEVEL,
+        'A process accepts no new work and drains.',
+    )
+    process_stopped = (102, INFO_LEVEL, 'A process has drained and exits.')
+    settings_reloaded = (105, INFO_LEVEL, 'The settings were reloaded.')
+    settings_refused = (
+        106,
+        ERROR_LEVEL,
+        'New settings are invalid; the old ones stay in force.',
+    )
+    loop_failed = (
+        104,
+        ERROR_LEVEL,
+        'An iteration of a background loop failed.',
+    )
+    work_cut = (
+        103,
+        ERROR_LEVEL,
+        'A process exits with work still in progress.',
+    )
     request_done = (
         200,
-        NOTE,
-        'A request ended; its sends say why it went where.',
+        INFO_LEVEL,
+        'A request ended; the line lists each send with its reason.',
+    )
+    request_failed = (
+        201,
+        ERROR_LEVEL,
+        'A request failed with an internal error.',
+    )
+    request_broken = (
+        204,
+        WARNING_LEVEL,
+        'A connection broke during a response.',
+    )
+    request_retried = (
+        202,
+        INFO_LEVEL,
+        'A request is retried at another upstream.',
+    )
+    stream_resumed = (
+        203,
+        WARNING_LEVEL,
+        'A stream was resumed at another upstream.',
     )
-    request_failed = (201, BAD, 'A request ended on an internal error.')
-    request_broken = (204, ODD, 'A connection broke under an answer.')
-    request_retried = (202, NOTE, 'A request goes to another upstream.')
-    stream_resumed = (203, ODD, 'A stream goes on at another upstream.')
     customer_limited = (
         205,
-        NOTE,
-        'A request was refused since the limit of its customer is reached.',
+        INFO_LEVEL,
+        'A request was refused: its customer has reached a limit.',
     )
     limit_unreadable = (
         207,
-        BAD,
-        'An answer about the limits of a customer is not usable.',
+        ERROR_LEVEL,
+        'A response about the limits of a customer is invalid.',
     )
     caller_turned_away = (
         206,
-        ODD,
-        'A request was refused for its key, or since none can be judged.',
+        WARNING_LEVEL,
+        'A request was refused: its key is invalid or cannot be checked.',
+    )
+    upstream_added = (300, INFO_LEVEL, 'An upstream was added to routing.')
+    upstream_removed = (
+        301,
+        WARNING_LEVEL,
+        'An upstream was removed from routing.',
+    )
+    upstream_leaving = (303, INFO_LEVEL, 'An upstream accepts no new work.')
+    upstream_unreadable = (
+        304,
+        ERROR_LEVEL,
+        'An entry of the register or a report of an upstream is invalid.',
     )
-    upstream_added = (300, NOTE, 'An upstream is routed to.')
-    upstream_removed = (301, ODD, 'An upstream is no longer routed to.')
-    upstream_leaving = (303, NOTE, 'An upstream takes no new work.')
-    upstream_unreadable = (304, BAD, 'An entry of the register is not usable.')
     upstream_outdated = (
         308,
-        NOTE,
-        'An entry of an earlier start of an upstream came late.',
+        INFO_LEVEL,
+        'A late entry of an earlier start of an upstream was ignored.',
     )
     upstream_ended = (
         309,
-        ODD,
-        'Nobody listens where an upstream did; its process has ended.',
+        WARNING_LEVEL,
+        'An upstream crashed: nothing listens on its address.',
     )
     request_suspected = (
         310,
-        ODD,
-        'A request was at an upstream that ended.',
+        WARNING_LEVEL,
+        'A request was running at an upstream that crashed.',
     )
     request_cleared = (
         311,
-        NOTE,
-        'Nothing is held against a request any more.',
+        INFO_LEVEL,
+        'A request is no longer suspected of causing crashes.',
     )
     request_condemned = (
         312,
-        BAD,
-        'Upstreams end because of a request; it is not run any more.',
+        ERROR_LEVEL,
+        'A request crashes upstreams; it is not run any more.',
     )
     refusal_unkept = (
         314,
-        ODD,
-        'The store did not take the verdict on a request yet.',
+        WARNING_LEVEL,
+        'The refusal of a request that crashes upstreams is not stored.',
     )
     refusal_held = (
         315,
-        NOTE,
-        'What is held against a request is on this disk.',
+        INFO_LEVEL,
+        'The refusal of a request that crashes upstreams is on this disk.',
+    )
+    request_refused = (
+        313,
+        WARNING_LEVEL,
+        'A request that crashes upstreams was refused.',
     )
-    request_refused = (313, ODD, 'A request that ends upstreams came again.')
     load_followed = (
         305,
-        NOTE,
-        'The load of an upstream is told as it changes.',
+        INFO_LEVEL,
+        'Load updates of an upstream are received.',
     )
-    load_lost = (306, ODD, 'The load of an upstream is not told any more.')
-    heartbeat_failed = (302, ODD, 'A heartbeat got no answer.')
+    load_lost = (
+        306,
+        WARNING_LEVEL,
+        'Load updates of an upstream are no longer received.',
+    )
+    heartbeat_failed = (302, WARNING_LEVEL, 'A heartbeat got no response.')
     connection_dropped = (
         307,
-        ODD,
-        'An idle connection was gone; others there rest for less time.',
-    )
-    platform_failed = (400, ODD, 'A platform call got no good answer.')
-    platform_lost = (402, ODD, 'No call to the store gets an answer.')
-    platform_found = (403, NOTE, 'The store answers again.')
-    reach_lost = (404, BAD, 'Neither the store nor any upstream is reached.')
-    reach_regained = (405, NOTE, 'An upstream is reached again.')
-    platform_unknown = (401, ODD, 'A write may have taken effect.')
-    configuration_applied = (500, NOTE, 'A configuration is in force.')
-    configuration_refused = (501, BAD, 'A configuration was not usable.')
+        WARNING_LEVEL,
+        'A peer dropped an idle connection; its idle limit is reduced.',
+    )
+    platform_failed = (400, WARNING_LEVEL, 'A platform call failed.')
+    platform_lost = (402, WARNING_LEVEL, 'The store is unreachable.')
+    platform_found = (403, INFO_LEVEL, 'The store is reachable again.')
+    reach_lost = (
+        404,
+        ERROR_LEVEL,
+        'Neither the store nor any upstream is reachable.',
+    )
+    reach_regained = (405, INFO_LEVEL, 'An upstream is reachable again.')
+    platform_unknown = (
+        401,
+        WARNING_LEVEL,
+        'The outcome of a write is unknown; it may have taken effect.',
+    )
+    configuration_applied = (500, INFO_LEVEL, 'A configuration is in force.')
+    configuration_refused = (501, ERROR_LEVEL, 'A configuration is invalid.')
     knowledge_old = (
         502,
-        ODD,
-        'It is not known whether keys were taken away; none counts here.',
+        WARNING_LEVEL,
+        'It is unknown whether keys were revoked; none is accepted here.',
+    )
+    knowledge_proved = (
+        503,
+        INFO_LEVEL,
+        'The configuration is confirmed to be the newest.',
     )
-    knowledge_proved = (503, NOTE, 'The configuration is known to be newest.')
     configuration_odd = (
         504,
-        ODD,
-        'A configuration in force holds what cannot be meant as it stands.',
-    )
-    job_accepted = (600, NOTE, 'A batch job was accepted.')
-    job_finished = (601, NOTE, 'A batch job has its last result.')
-    chunk_claimed = (602, NOTE, 'A process owns a chunk of a job.')
-    chunk_done = (603, NOTE, 'Each item of a chunk has its result.')
-    chunk_lost = (604, ODD, 'An owner was fenced and stopped.')
-    chunk_taken_over = (605, ODD, 'A chunk of a lost owner goes on.')
-    item_suspect = (606, ODD, 'An item was running when work was lost.')
-    batch_preempted = (607, NOTE, 'Batch work gave way to online work.')
-    chunk_failed = (608, BAD, 'Work on a chunk stopped on an error.')
-    chunk_not_opened = (609, NOTE, 'An offered chunk could not be taken.')
-    job_ended = (610, NOTE, 'A caller ended a batch job.')
-    job_refused = (611, ODD, 'A batch job was not accepted.')
-    item_adopted = (612, NOTE, 'A process runs items that are its own now.')
-    item_started = (613, NOTE, 'A batch item runs at the upstream.')
-    item_paused = (614, NOTE, 'A batch item gave way to questions.')
-    item_broken = (615, ODD, 'A run of a batch item ended early.')
-    item_done = (616, NOTE, 'A batch item has its final state.')
-    results_written = (617, NOTE, 'Results of batch items are kept.')
-    results_waiting = (618, ODD, 'Results could not be written yet.')
-    items_moved = (619, ODD, 'Items of a lost process were handed to others.')
-    member_joined = (620, NOTE, 'A process says on the board what it does.')
-    member_left = (621, ODD, 'A process is off the board.')
-    assignment_unreadable = (623, BAD, 'An assignment is not usable.')
-    progress_unsaved = (624, ODD, 'Text of unfinished items is not kept.')
-    job_held = (625, NOTE, 'A job is on this disk until the store takes it.')
-    job_unheld = (633, BAD, 'A disk takes nothing; a job is not kept there.')
-    job_handed_over = (626, NOTE, 'The store has a job that a disk held.')
-    job_unreadable = (627, BAD, 'A file of a held job is not whole.')
-    job_removed = (628, NOTE, 'A job is too old to be readable any more.')
-    retired = (622, NOTE, 'A VM holds nothing that is needed.')
-    disk_opened = (700, NOTE, 'A data folder is in use.')
-    disk_refused = (701, ODD, 'A data folder refused an append.')
-    journal_repaired = (702, ODD, 'A torn tail was cut off a journal.')
-    copy_lost = (703, ODD, 'A copy of a journal cannot be reached.')
-    copy_restored = (704, NOTE, 'A lost copy was made again elsewhere.')
-    promise_broken = (900, BAD, 'An invariant does not hold.')
+        WARNING_LEVEL,
+        'A configuration in force contains a probable mistake.',
+    )
+    job_accepted = (600, INFO_LEVEL, 'A batch job was accepted.')
+    job_finished = (601, INFO_LEVEL, 'A batch job is finished.')
+    chunk_claimed = (602, INFO_LEVEL, 'A process owns a chunk of a job.')
+    chunk_done = (603, INFO_LEVEL, 'All items of a chunk have results.')
+    chunk_lost = (
+        604,
+        WARNING_LEVEL,
+        'A process lost a chunk to a newer owner.',
+    )
+    chunk_taken_over = (
+        605,
+        WARNING_LEVEL,
+        'A process took over a chunk of a lost owner.',
+    )
+    item_suspect = (
+        606,
+        WARNING_LEVEL,
+        'An item was running at a crash; it is run alone.',
+    )
+    batch_preempted = (
+        607,
+        INFO_LEVEL,
+        'Batch work was preempted by online requests.',
+    )
+    chunk_failed = (608, ERROR_LEVEL, 'Work on a chunk stopped on an error.')
+    chunk_not_opened = (
+        609,
+        INFO_LEVEL,
+        'An offered chunk could not be claimed.',
+    )
+    job_ended = (610, INFO_LEVEL, 'A caller cancelled a batch job.')
+    job_refused = (611, WARNING_LEVEL, 'A batch job was not accepted.')
+    item_adopted = (
+        612,
+        INFO_LEVEL,
+        'A process took on the items that were assigned to it.',
+    )
+    item_started = (613, INFO_LEVEL, 'A batch item started at the upstream.')
+    item_paused = (
+        614,
+        INFO_LEVEL,
+        'A batch item was paused for online requests.',
+    )
+    item_broken = (615, WARNING_LEVEL, 'A run of a batch item ended early.')
+    item_done = (616, INFO_LEVEL, 'A batch item has its final state.')
+    results_written = (617, INFO_LEVEL, 'Results of batch items are stored.')
+    results_waiting = (618, WARNING_LEVEL, 'Results could not be written yet.')
+    items_moved = (
+        619,
+        WARNING_LEVEL,
+        'Items of a lost process were reassigned.',
+    )
+    member_joined = (620, INFO_LEVEL, 'A process joined the job board.')
+    member_left = (621, WARNING_LEVEL, 'A process left the job board.')
+    assignment_unreadable = (623, ERROR_LEVEL, 'An assignment is invalid.')
+    progress_unsaved = (
+        624,
+        WARNING_LEVEL,
+        'Partial results of unfinished items were not stored.',
+    )
+    job_held = (
+        625,
+        INFO_LEVEL,
+        'A job is on this disk until the store accepts it.',
+    )
+    job_unheld = (
+        633,
+        ERROR_LEVEL,
+        'A disk failed to write a job; it is not confirmed there.',
+    )
+    job_handed_over = (626, INFO_LEVEL, 'A job on this disk is in the store.')
+    job_unreadable = (
+        627,
+        ERROR_LEVEL,
+        'The file of a job on this disk is incomplete.',
+    )
+    job_removed = (
+        628,
+        INFO_LEVEL,
+        'A job exceeded its retention time and is removed.',
+    )
+    retired = (622, INFO_LEVEL, 'A VM stores nothing that is still needed.')
+    disk_opened = (700, INFO_LEVEL, 'A data folder is in use.')
+    disk_refused = (
+        701,
+        WARNING_LEVEL,
+        'A data folder refused a write: stale fence or another folder.',
+    )
+    journal_repaired = (
+        702,
+        WARNING_LEVEL,
+        'An incomplete tail was truncated from a journal.',
+    )
+    copy_lost = (
+        703,
+        WARNING_LEVEL,
+        'A copy of stored data cannot be reached or restored.',
+    )
+    copy_restored = (
+        704,
+        INFO_LEVEL,
+        'A lost copy was restored on another folder.',
+    )
+    promise_broken = (900, ERROR_LEVEL, 'An invariant does not hold.')
 
     def __init__(self, number: int, level: str, meaning: str) -> None:
-        """Spread the value over named attributes."""
+        """Unpack the value into attributes."""
         self.number = number
         self.level = level
         self.meaning = meaning
