--- a/src/wigeonpier/web/exporters.py
+++ b/src/wigeonpier/web/exporters.py
@@ -1,4 +1,4 @@
-"""Where finished spans go."""
+"""Export of finished spans to a file or an OTLP collector."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     from collections.abc import Callable
 
 OTLP_PATH = '/v1/traces'
-MOST_QUEUED = 4096
-MOST_SENT = 512
-GATHER_SECONDS = 0.5
+MAX_QUEUED_SPANS = 4096
+MAX_BATCH_SPANS = 512
+BATCH_SECONDS = 0.5
 SERVICE_NAME = 'wigeonpier'
 JSON_TYPE = 'application/json'
 
@@ -33,7 +33,7 @@
     path: str,
     address: str,
 ) -> Callable[[SpanRecord], None]:
-    """Choose where spans go by settings.
+    """Create the span exporter that the settings select.
 
     :param path: file for JSON lines, empty for none.
     :param address: ``host:port`` of an OTLP/HTTP collector, empty for none.
@@ -57,24 +57,24 @@
 def start_otlp_exporter(address: str) -> Callable[[SpanRecord], None]:
     """Send spans to a collector in the OTLP/HTTP JSON encoding.
 
-    Spans are dropped rather than kept when the collector is slow or down.
+    Spans are dropped if the collector is slow or down.
 
     :param address: ``host:port``.
     :returns: the exporter.
     """
-    queue: Queue[SpanRecord] = Queue(MOST_QUEUED)
-    caller = HttpCaller()
+    queue: Queue[SpanRecord] = Queue(MAX_QUEUED_SPANS)
+    client = HttpCaller()
 
     def export(record: SpanRecord) -> None:
         with suppress(Full):
             queue.put_nowait(record)
 
-    spawn_loop('otlp', lambda: _send_spans(queue, caller, address))
+    spawn_loop('otlp', lambda: _send_spans(queue, client, address))
     return export
 
 
 def encode_otlp(records: list[SpanRecord]) -> dict[str, Any]:
-    """Encode spans as the published OTLP JSON shape.
+    """Encode spans in the OTLP JSON encoding.
 
     :param records: finished spans.
     :returns: an ``ExportTraceServiceRequest``.
@@ -108,14 +108,14 @@
 
 def _send_spans(
     queue: Queue[SpanRecord],
-    caller: HttpCaller,
+    client: HttpCaller,
     address: str,
 ) -> None:
     records = [queue.get()]
-    gevent.sleep(GATHER_SECONDS)
-    while not queue.empty() and len(records) < MOST_SENT:
+    gevent.sleep(BATCH_SECONDS)
+    while not queue.empty() and len(records) < MAX_BATCH_SPANS:
         records.append(queue.get())
-    caller.call(
+    client.call(
         address,
         'POST',
         OTLP_PATH,
--- a/tests/web/test_exporters.py
+++ b/tests/web/test_exporters.py
@@ -1,4 +1,4 @@
-"""Spans reach a collector, and a collector that is down harms nobody."""
+"""Tests of span exporters and of the metrics text."""
 
 from __future__ import annotations
 
@@ -16,12 +16,14 @@
 PARENT = f'00-{"a" * 32}-{"b" * 16}-01'
 
 
-def test_spans_are_sent_in_the_published_shape(tmp_path) -> None:
-    taken: list[Any] = []
+def test_spans_are_sent_in_the_otlp_encoding(tmp_path) -> None:
+    received: list[Any] = []
 
     def collect(request):
         request.body_limit = 1_000_000
-        taken.append((request.path, msgspec.json.decode(request.read_body())))
+        received.append(
+            (request.path, msgspec.json.decode(request.read_body()))
+        )
         return answer_json({})
 
     server = Server('127.0.0.1', 0, collect)
@@ -31,10 +33,10 @@
     span = start_span('entry', PARENT)
     span.fields['status'] = '200'
     export(make_record(span))
-    where, body = wait_for(lambda: taken and taken[0])
+    path_received, body = wait_for(lambda: received and received[0])
     server.stop()
     (sent,) = body['resourceSpans'][0]['scopeSpans'][0]['spans']
-    assert where == '/v1/traces'
+    assert path_received == '/v1/traces'
     assert sent['traceId'] == 'a' * 32
     assert sent['parentSpanId'] == 'b' * 16
     assert sent['spanId'] == span.span_id
@@ -43,7 +45,7 @@
     assert line['span_id'] == span.span_id
 
 
-def test_a_collector_that_is_down_drops_spans() -> None:
+def test_spans_are_dropped_while_the_collector_is_down() -> None:
     export = choose_exporter('', '127.0.0.1:1')
     for _ in range(5000):
         export(make_record(start_span('entry', None)))
@@ -56,7 +58,7 @@
         assert not span.parent_id
 
 
-def test_the_page_shows_counters_gauges_and_quantiles() -> None:
+def test_metrics_are_rendered_as_prometheus_text() -> None:
     metrics = Metrics()
     metrics.count('answers_total', status='200')
     metrics.add_gauge('peers', lambda: 3)
