--- a/src/wigeonpier/web/__init__.py
+++ b/src/wigeonpier/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP plumbing that both daemons share."""
+"""HTTP client and server code shared by both daemons."""
--- a/src/wigeonpier/web/filters.py
+++ b/src/wigeonpier/web/filters.py
@@ -1,4 +1,4 @@
-"""Filters that both daemons put before their routes."""
+"""Request filters of both daemons."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from wigeonpier.web.server import Filter, Handler
 
 CONTROL_PATHS = ('/peer/', '/disk/')
-QUIET_PATHS = frozenset(('/healthz', '/readyz', '/metrics'))
+UNLOGGED_PATHS = frozenset(('/healthz', '/readyz', '/metrics'))
 
 
 def trace_requests(
@@ -32,13 +32,13 @@
     export: Callable[[SpanRecord], None],
     metrics: Metrics,
 ) -> Filter:
-    """Make the filter that gives each request an id and a span.
+    """Create the filter that gives each request an id and a span.
 
-    Control between processes is not a request of anybody and has none.
+    Control messages between processes are not traced.
 
     :param process: name of the hop.
-    :param export: takes the finished span.
-    :param metrics: counts answers by status.
+    :param export: receives the finished span.
+    :param metrics: counts responses by status.
     :returns: the filter.
     """
 
@@ -59,18 +59,19 @@
             status=str(response.status),
             request=request.identity,
         )
-        response.on_close.append(lambda: _finish(span, request, export))
+        response.on_close.append(lambda: _finish_request(span, request, export))
         return response
 
     return trace
 
 
 def answer_errors(request: Request, following: Handler) -> Response:
-    """Turn refusals and faults into answers.
+    """Convert refusals and unexpected exceptions into responses.
 
     :param request: the request.
     :param following: the next handler.
-    :returns: the answer, never an exception but for a broken promise.
+    :returns: the response.
+    :raises BrokenPromiseError: if an invariant does not hold.
     """
     try:
         return following(request)
@@ -91,34 +92,34 @@
 
 
 def limit_bodies(limit: int) -> Filter:
-    """Make the filter that bounds the size of bodies.
+    """Create the filter that limits the size of request bodies.
 
-    :param limit: most bytes of a body, unless a handler raises it.
+    :param limit: maximum size, bytes; a handler may raise it.
     :returns: the filter.
     """
 
-    def bound(request: Request, following: Handler) -> Response:
+    def set_limit(request: Request, following: Handler) -> Response:
         request.body_limit = limit
         return following(request)
 
-    return bound
+    return set_limit
 
 
 def require_peer_key(
     keys: tuple[str, ...], prefixes: tuple[str, ...]
 ) -> Filter:
-    """Make the filter that lets only processes of the system through.
+    """Create the filter that admits only processes of the system.
 
-    :param keys: shared keys in force; any of them is taken, so that they
+    :param keys: shared keys in force; any of them is accepted, so that they
         can be rotated.
-    :param prefixes: paths that are for peers only.
+    :param prefixes: path prefixes that are reserved for peers.
     :returns: the filter.
     """
 
     def check(request: Request, following: Handler) -> Response:
         if request.path.startswith(prefixes):
-            shown = request.headers.get(headers.PEER_KEY, '')
-            if not any(hmac.compare_digest(shown, key) for key in keys):
+            received_key = request.headers.get(headers.PEER_KEY, '')
+            if not any(hmac.compare_digest(received_key, key) for key in keys):
                 raise Refusal(
                     ErrorKind.unauthenticated,
                     f'{headers.PEER_KEY} does not hold a peer key in force',
@@ -128,13 +129,13 @@
     return check
 
 
-def _finish(
+def _finish_request(
     span: Span,
     request: Request,
     export: Callable[[SpanRecord], None],
 ) -> None:
     export(make_record(span))
-    if request.path not in QUIET_PATHS:
+    if request.path not in UNLOGGED_PATHS:
         log_event(
             Event.request_done,
             request=request.identity,
--- a/src/wigeonpier/web/headers.py
+++ b/src/wigeonpier/web/headers.py
@@ -1,4 +1,4 @@
-"""Names of the headers that the system reads and writes, lower case."""
+"""Header names that the system reads and writes, in lower case."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 PEER_KEY = 'wigeonpier-peer-key'
 CUSTOMER = 'wigeonpier-customer'
 DEADLINE_MS = 'wigeonpier-deadline-ms'
-# Content of a request that goes on from a part of its answer.
+# Fingerprint of the original content, sent with a resumed request.
 FINGERPRINT = 'wigeonpier-fingerprint'
 DELIVERED = 'wigeonpier-delivered-tokens'
--- a/src/wigeonpier/web/messages.py
+++ b/src/wigeonpier/web/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as handlers see them."""
+"""Request and response objects of handlers."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 EVENT_STREAM_TYPE = 'text/event-stream'
 JSON_LINES_TYPE = 'application/jsonl'
 REQUEST_ID_BYTES = 12
-READ_SIZE = 65_536
-READ_SECONDS = 30
+READ_BYTES = 65_536
+READ_TIMEOUT_SECONDS = 30
 
 Model = TypeVar('Model')
 
 
 class ErrorBody(msgspec.Struct):
-    """What a refusal says."""
+    """Error details of a refusal."""
 
     type: str
     message: str
@@ -35,26 +35,26 @@
 
 
 class ErrorPage(msgspec.Struct):
-    """Body of every refusal."""
+    """Response body of every refusal."""
 
     error: ErrorBody
 
 
 @dataclass(slots=True)
 class Request:
-    """One request on its way through the filter chain.
+    """One request in the filter chain.
 
     :param method: HTTP method.
     :param path: path without query.
-    :param query: query text.
+    :param query: query string.
     :param headers: header values by lower-case name.
-    :param stream: reads the body.
-    :param identity: id that is checked at each hop.
+    :param stream: file-like object of the body.
+    :param identity: request id, the same at each hop.
     :param customer: name of the customer, set by the key filter.
     :param span: span of this hop, set by the trace filter.
-    :param body_limit: most bytes that a handler may read.
-    :param target: path with query as it came, not decoded.
-    :param connection: the caller's connection, to see whether it left.
+    :param body_limit: maximum size of the body, bytes.
+    :param target: path with query, still percent-encoded.
+    :param connection: the caller's connection; used to detect its close.
     """
 
     method: str
@@ -71,18 +71,18 @@
 
     @property
     def caller(self) -> str:
-        """Give the address from which the caller came, empty if unknown."""
+        """Return the IP address of the caller, empty if unknown."""
         try:
             return str(self.connection.getpeername()[0])
         except (AttributeError, OSError):
-            # There is no connection in some tests, or it is gone.
+            # The connection is closed, or the request has none (in tests).
             return ''
 
     def read_body(self) -> bytes:
-        """Read the whole body within the limit.
+        """Read the complete body within the limit.
 
         :returns: the bytes.
-        :raises Refusal: when it is too large or does not arrive in time.
+        :raises Refusal: if it is too large or does not arrive in time.
         """
         return b''.join(self.iterate_body())
 
@@ -90,13 +90,13 @@
         """Read the body in parts within the limit.
 
         :yields: parts of at most 64 KiB.
-        :raises Refusal: when it is too large or does not arrive in time.
+        :raises Refusal: if it is too large or does not arrive in time.
         """
         self._check_length(int(self.headers.get('content-length') or 0))
         size = 0
         while True:
-            with gevent.Timeout(READ_SECONDS, _refuse_slow_body()):
-                part = self.stream.read(READ_SIZE)
+            with gevent.Timeout(READ_TIMEOUT_SECONDS, _refuse_slow_body()):
+                part = self.stream.read(READ_BYTES)
             if not part:
                 return
             size += len(part)
@@ -113,13 +113,13 @@
 
 @dataclass(slots=True)
 class Response:
-    """One answer.
+    """One response.
 
     :param status: HTTP status.
-    :param body: whole bytes, or an iterator of parts.
+    :param body: complete body, or an iterator of its parts.
     :param content_type: media type.
-    :param headers: further headers.
-    :param on_close: called once when the body is sent or given up.
+    :param headers: additional headers.
+    :param on_close: callbacks, called once when the body was sent or aborted.
     """
 
     status: int
@@ -130,7 +130,7 @@
 
 
 def make_identity() -> str:
-    """Draw the id of a request.
+    """Create a random request id.
 
     :returns: 24 hexadecimal digits.
     """
@@ -138,7 +138,7 @@
 
 
 def answer_json(content: Any, status: int = 200) -> Response:
-    """Answer with a JSON document.
+    """Create a response with a JSON document.
 
     :param content: anything that msgspec encodes.
     :param status: HTTP status.
@@ -148,10 +148,10 @@
 
 
 def answer_refusal(refusal: Refusal) -> Response:
-    """Turn a refusal into its answer.
+    """Create the response to a refused request.
 
-    :param refusal: what is refused.
-    :returns: the response, with retry advice where the table has it.
+    :param refusal: the refusal.
+    :returns: the response, with ``Retry-After`` if the refusal defines it.
     """
     page = ErrorPage(
         ErrorBody(refusal.kind.value, refusal.message, refusal.ran.value),
@@ -165,12 +165,13 @@
 
 
 def decode_body(raw: bytes, model: type[Model]) -> Model:
-    """Validate a JSON body at the border.
+    """Decode and validate a JSON request body.
 
-    :param raw: the bytes.
-    :param model: what they have to be.
-    :returns: the validated value.
-    :raises Refusal: naming the key path and what was expected.
+    :param raw: the body.
+    :param model: expected type.
+    :returns: the decoded value.
+    :raises Refusal: if it is invalid; names the key path and the expected
+        type.
     """
     try:
         return msgspec.json.decode(raw, type=model)
@@ -181,5 +182,5 @@
 def _refuse_slow_body() -> Refusal:
     return Refusal(
         ErrorKind.invalid_request,
-        f'no part of the body arrived within {READ_SECONDS} s',
+        f'no part of the body arrived within {READ_TIMEOUT_SECONDS} s',
     )
--- a/src/wigeonpier/web/pages.py
+++ b/src/wigeonpier/web/pages.py
@@ -1,4 +1,4 @@
-"""Health, readiness and metrics of a daemon."""
+"""Health, readiness and metrics routes of a daemon."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class HealthPage(msgspec.Struct):
-    """What a daemon says of itself.
+    """Health report of a daemon.
 
     :param name: name of its VM.
-    :param version: configuration in force.
-    :param broken_promises: how often an invariant did not hold.
-    :param platform_seconds: how long the key-value service has not
-        answered, 0 while it does.
+    :param version: version of the configuration in force.
+    :param broken_promises: number of invariant violations.
+    :param platform_seconds: how long the key-value service has been
+        unreachable, 0 while it is reachable.
     """
 
     name: str
@@ -42,11 +42,11 @@
     is_ready: Callable[[], bool],
     metrics: Metrics,
 ) -> list[Route]:
-    """List the paths that every daemon has.
+    """Create the routes that every daemon has.
 
-    :param describe: tells how the daemon is.
-    :param is_ready: whether it can take work.
-    :param metrics: its numbers.
+    :param describe: returns the health report.
+    :param is_ready: returns whether the daemon accepts work.
+    :param metrics: metrics of the daemon.
     :returns: the routes.
     """
 
