--- a/src/wigeonpier/telemetry/sink.py
+++ b/src/wigeonpier/telemetry/sink.py
@@ -1,4 +1,4 @@
-"""A stream for log lines on which nothing ever waits."""
+"""A non-blocking stream for log lines."""
 
 from __future__ import annotations
 
@@ -13,82 +13,83 @@
 if TYPE_CHECKING:
     from typing import TextIO
 
-# About a second of lines under load; what comes beyond is counted.
-MOST_LINES = 2000
-MOST_BYTES_AT_ONCE = 65_536
+# About one second of log lines under load; lines beyond are dropped and
+# counted.
+MAX_QUEUED_LINES = 2000
+MAX_WRITE_BYTES = 65_536
 RETRY_SECONDS = 0.5
 
 
 class LineSink:
-    """Takes lines at once and writes them when the stream takes them."""
+    """Queues lines and writes them as soon as the stream is writable."""
 
     def __init__(self, stream: TextIO) -> None:
-        """Write to the stream's descriptor, without ever blocking on it."""
+        """Set the descriptor of the stream to non-blocking and write to it."""
         self.dropped = 0
         self._descriptor = stream.fileno()
         self._lines: deque[bytes] = deque()
-        self._rest = b''
-        self._wanted = Signal()
+        self._unwritten = b''
+        self._lines_added = Signal()
         self._is_broken = False
         os.set_blocking(self._descriptor, False)
-        gevent.spawn(self._run_always)
+        gevent.spawn(self._run_until_broken)
 
     def write(self, text: str) -> int:
-        """Take a line, or count it where too many wait.
+        """Queue a line, or drop and count it if the queue is full.
 
-        :param text: the line with its end.
-        :returns: characters that were taken.
+        :param text: the line with its terminator.
+        :returns: number of characters accepted.
         """
-        if len(self._lines) >= MOST_LINES:
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return 0
         self._lines.append(text.encode())
-        self._wanted.set()
+        self._lines_added.set()
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing; lines go out as the stream takes them."""
+        """Do nothing; lines are written as soon as the stream is writable."""
 
     def drain(self) -> None:
-        """Write what the stream takes right now, before the process ends."""
-        is_taken = True
-        while is_taken and self._has_lines:
-            is_taken = self._write_some()
+        """Write what the stream accepts without blocking, before the exit."""
+        is_writable = True
+        while is_writable and self._has_lines:
+            is_writable = self._write_some()
 
-    def _run_always(self) -> None:
-        # Not a loop that logs its faults: it is what logs are written by.
+    def _run_until_broken(self) -> None:
+        # spawn_loop is not used: it logs errors, and logs are written here.
         while not self._is_broken:
             self._run()
 
     def _run(self) -> None:
-        self._wanted.wait()
+        self._lines_added.wait()
         if not self._write_some():
-            self._wait()
+            self._wait_until_writable()
         elif not self._has_lines:
-            self._wanted.clear()
+            self._lines_added.clear()
 
     @property
     def _has_lines(self) -> bool:
-        return bool(self._rest or self._lines)
+        return bool(self._unwritten or self._lines)
 
-    def _wait(self) -> None:
+    def _wait_until_writable(self) -> None:
         try:
             wait_write(self._descriptor, timeout=RETRY_SECONDS)
         except TimeoutError:
-            # Nobody reads; lines are counted until somebody does.
+            # The reader is stalled; new lines are dropped and counted.
             return
 
     def _write_some(self) -> bool:
-        """Write some lines; false where the stream is full."""
-        while self._lines and len(self._rest) < MOST_BYTES_AT_ONCE:
-            self._rest += self._lines.popleft()
+        """Write some lines; return whether the stream accepted data."""
+        while self._lines and len(self._unwritten) < MAX_WRITE_BYTES:
+            self._unwritten += self._lines.popleft()
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody will ever read again.
+            # The stream is closed or broken; nothing can be written again.
             self._is_broken = True
             return False
-        self._rest = self._rest[written:]
+        self._unwritten = self._unwritten[written:]
         return True
--- a/tests/telemetry/test_sink.py
+++ b/tests/telemetry/test_sink.py
@@ -1,4 +1,4 @@
-"""Log lines on a stream that nobody reads."""
+"""Tests of log lines on a stream whose reader is stalled."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 import gevent
 
-from wigeonpier.telemetry.sink import MOST_LINES, LineSink
+from wigeonpier.telemetry.sink import MAX_QUEUED_LINES, LineSink
 
 LINE = 'x' * 200 + '\n'
 
 
-def test_a_full_pipe_loses_lines_and_no_time() -> None:
+def test_a_full_pipe_drops_lines_without_blocking() -> None:
     reader, writer = os.pipe()
     with os.fdopen(writer, 'w') as stream:
         sink = LineSink(stream)
-        for _line in range(MOST_LINES * 2):
+        for _line in range(MAX_QUEUED_LINES * 2):
             sink.write(LINE)
             gevent.sleep(0)
         assert sink.dropped > 0
-        taken = MOST_LINES * 2 - sink.dropped
-        seen = b''
-        while seen.count(b'\n') < taken:
+        accepted = MAX_QUEUED_LINES * 2 - sink.dropped
+        read_bytes = b''
+        while read_bytes.count(b'\n') < accepted:
             gevent.sleep(0.01)
-            seen += os.read(reader, 65536)
-        assert seen == LINE.encode() * taken
+            read_bytes += os.read(reader, 65536)
+        assert read_bytes == LINE.encode() * accepted
         sink.write('last\n')
         sink.drain()
         assert os.read(reader, 100) == b'last\n'
     os.close(reader)
 
 
-def test_lines_go_out_in_order() -> None:
+def test_lines_are_written_in_order() -> None:
     reader, writer = os.pipe()
     with os.fdopen(writer, 'w') as stream:
         sink = LineSink(stream)
