--- a/src/wigeonpier/telemetry/logs.py
+++ b/src/wigeonpier/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, numbered events only."""
+"""Structured logs: numbered events, one JSON object per line."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
     level: str,
     stream: TextIO | LineSink = sys.stderr,
 ) -> None:
-    """Send events as JSON lines to a stream.
+    """Configure logging of events as JSON lines to a stream.
 
-    :param process: name that each line carries.
-    :param level: lowest level that is written, as in ``logging``.
-    :param stream: where the lines go.
+    :param process: process name, added to each line.
+    :param level: minimum level, as in ``logging``.
+    :param stream: output stream.
     """
     structlog.configure(
         processors=[
-            _make_namer(process),
+            _make_process_adder(process),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso'),
             structlog.processors.JSONRenderer(serializer=_render),
@@ -45,17 +45,18 @@
 
 
 def log_event(event: Event, **fields: Any) -> None:
-    """Write one numbered event.
+    """Log one numbered event.
 
     :param event: entry of the catalogue.
-    :param fields: what happened, JSON values.
+    :param fields: log fields, JSON values.
     """
     write = getattr(_LOGGER, event.level)
     write(event.name, number=event.number, **fields)
 
 
-def _make_namer(process: str) -> Processor:
-    # Not by context variables: a greenlet has none of the one that bound them.
+def _make_process_adder(process: str) -> Processor:
+    # Context variables are not used: a greenlet does not inherit those of the
+    # greenlet that bound them.
     def add_name(_logger: Any, _method: str, fields: EventDict) -> EventDict:
         fields['process'] = process
         return fields
--- a/src/wigeonpier/telemetry/metrics.py
+++ b/src/wigeonpier/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and HDR histograms, shown as Prometheus text."""
+"""Counters, gauges and HDR histograms in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
+MIN_US = 1
+MAX_US = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
 QUANTILES = (50.0, 95.0, 99.0, 99.9)
 MICROSECONDS = 1_000_000
@@ -20,10 +20,10 @@
 
 
 class Metrics:
-    """The numbers of one process."""
+    """Metrics of one process."""
 
     def __init__(self) -> None:
-        """Start with no numbers."""
+        """Create an empty set of metrics."""
         self._counters: defaultdict[tuple[str, Labels], float] = defaultdict(
             float,
         )
@@ -34,30 +34,30 @@
         """Add to a counter.
 
         :param name: name without prefix.
-        :param amount: what to add.
+        :param amount: increment.
         :param labels: label values.
         """
         self._counters[name, _sort_labels(labels)] += amount
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Record a time in a histogram.
+        """Record a duration in a histogram.
 
         :param name: name without prefix or unit.
-        :param seconds: what was measured.
+        :param seconds: measured duration.
         :param labels: label values.
         """
         key = (name, _sort_labels(labels))
         histogram = self._histograms.get(key)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
             self._histograms[key] = histogram
-        histogram.record_value(max(LOWEST_US, int(seconds * MICROSECONDS)))
+        histogram.record_value(max(MIN_US, int(seconds * MICROSECONDS)))
 
     def add_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Show a value that is read when the page is asked for.
+        """Add a gauge that is read when the metrics are rendered.
 
         :param name: name without prefix.
-        :param read: gives the value.
+        :param read: returns the value.
         """
         self._gauges[name] = read
 
@@ -66,27 +66,31 @@
 
         :param name: name without prefix.
         :param labels: label values.
-        :returns: its value, 0 where it was never counted.
+        :returns: its value, 0 if it was never incremented.
         """
         return self._counters.get((name, _sort_labels(labels)), 0)
 
-    def get_quantile(self, name: str, share: float, **labels: str) -> float:
+    def get_quantile(
+        self, name: str, percentile: float, **labels: str
+    ) -> float:
         """Read one quantile of a histogram.
 
         :param name: name without prefix or unit.
-        :param share: per cent, 0 to 100.
+        :param percentile: percentile, 0 to 100.
         :param labels: label values.
-        :returns: seconds, 0 where nothing was observed.
+        :returns: seconds, 0 if nothing was observed.
         """
         histogram = self._histograms.get((name, _sort_labels(labels)))
         if histogram is None:
             return 0
-        return float(histogram.get_value_at_percentile(share)) / MICROSECONDS
+        return (
+            float(histogram.get_value_at_percentile(percentile)) / MICROSECONDS
+        )
 
     def render(self) -> str:
-        """Show all numbers in the Prometheus text format.
+        """Render all metrics in the Prometheus text format.
 
-        :returns: the page.
+        :returns: the text.
         """
         lines = [
             _render_line(name, labels, count)
@@ -122,10 +126,10 @@
     lines = [
         _render_line(
             f'{name}_seconds',
-            (*labels, ('quantile', str(share / 100))),
-            histogram.get_value_at_percentile(share) / MICROSECONDS,
+            (*labels, ('quantile', str(percentile / 100))),
+            histogram.get_value_at_percentile(percentile) / MICROSECONDS,
         )
-        for share in QUANTILES
+        for percentile in QUANTILES
     ]
     total = histogram.get_total_count()
     lines.append(_render_line(f'{name}_seconds_count', labels, total))
--- a/src/wigeonpier/telemetry/trace.py
+++ b/src/wigeonpier/telemetry/trace.py
@@ -1,4 +1,4 @@
-"""Trace spans with W3C trace context, one span a hop."""
+"""Trace spans with W3C trace context, one span per hop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 _SAMPLED = '01'
 _TRACE_LENGTH = 32
 _SPAN_LENGTH = 16
-_PART_COUNT = 4
+_FIELD_COUNT = 4
 NANOSECONDS = 1_000_000_000
 
 
@@ -28,10 +28,10 @@
 
     :param trace_id: 32 hexadecimal digits, shared by all hops.
     :param span_id: 16 hexadecimal digits of this hop.
-    :param parent_id: span that called this one, empty for the first.
-    :param name: what the hop does.
+    :param parent_id: id of the calling span, empty for the first.
+    :param name: name of the hop.
     :param started: seconds since the epoch.
-    :param fields: attributes, text values.
+    :param fields: attributes by name.
     """
 
     trace_id: str
@@ -43,12 +43,12 @@
 
     @property
     def traceparent(self) -> str:
-        """Give the header for the next hop."""
+        """Return the header for the next hop."""
         return f'{_VERSION}-{self.trace_id}-{self.span_id}-{_SAMPLED}'
 
 
 class SpanRecord(msgspec.Struct):
-    """A finished span as one JSON line."""
+    """A finished span; written as one JSON line."""
 
     trace_id: str
     span_id: str
@@ -60,10 +60,10 @@
 
 
 def start_span(name: str, traceparent: str | None) -> Span:
-    """Begin a span, joined to the caller's trace where there is one.
+    """Start a span in the trace of the caller, or in a new one.
 
-    :param name: what the hop does.
-    :param traceparent: header of the caller, malformed ones are ignored.
+    :param name: name of the hop.
+    :param traceparent: header of the caller; a malformed one is ignored.
     :returns: the span.
     """
     trace_id, parent_id = _parse_parent(traceparent)
@@ -77,9 +77,9 @@
 
 
 def make_record(span: Span) -> SpanRecord:
-    """Close a span.
+    """Finish a span.
 
-    :param span: the span that ends now.
+    :param span: the span, which ends now.
     :returns: its record.
     """
     return SpanRecord(
@@ -94,9 +94,9 @@
 
 
 def open_line_exporter(path: str) -> Callable[[SpanRecord], None]:
-    """Write spans to a file, one JSON object a line.
+    """Create an exporter that appends spans to a file as JSON lines.
 
-    :param path: file that is appended to.
+    :param path: the file.
     :returns: the exporter.
     """
     stream = Path(path).open('ab', buffering=0)  # noqa: SIM115
@@ -108,7 +108,7 @@
 
 
 def ignore_span(_record: SpanRecord) -> None:
-    """Export nothing.
+    """Discard a span.
 
     :param _record: a finished span.
     """
@@ -116,7 +116,7 @@
 
 def _parse_parent(traceparent: str | None) -> tuple[str, str]:
     parts = (traceparent or '').split('-')
-    if len(parts) != _PART_COUNT:
+    if len(parts) != _FIELD_COUNT:
         return '', ''
     _version, trace_id, span_id, _flags = parts
     if len(trace_id) != _TRACE_LENGTH or len(span_id) != _SPAN_LENGTH:
