--- a/src/wigeonpier/web/sse.py
+++ b/src/wigeonpier/web/sse.py
@@ -11,7 +11,7 @@
     from collections.abc import Iterable
 
 DATA_PREFIX = b'data: '
-END_MARK = b'[END_MARK]'
+END_MARK = b'[DONE]'
 CHAT_CHUNK = 'chat.completion.chunk'
 CHAT = 'chat.completion'
 TEXT = 'text_completion'
