--- a/src/wigeonpier/cli/configure.py
+++ b/src/wigeonpier/cli/configure.py
@@ -32,7 +32,7 @@
 FILE_ACTIONS = frozenset(('check', 'diff', 'apply'))
 PLATFORM_HELP = "check a configuration of the users' platform"
 SUFFIX = '.jsonc'
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -90,12 +90,12 @@
 
 
 def read_files(base: str, overlays: list[str]) -> Bundle:
-    """Read base and overlays, and check each site.
+    """Read base and overlays, and validate each site.
 
     :param base: base file.
     :param overlays: overlay files.
-    :returns: a bundle without a version.
-    :raises DocumentError: with every mistake of every file.
+    :returns: a bundle with version 0.
+    :raises DocumentError: if any file is invalid; lists all mistakes.
     """
     bundle = Bundle(
         version=0,
@@ -108,28 +108,28 @@
         },
     )
     problems: list[str] = []
-    for site, source in (('', base), *_name_sources(overlays)):
+    for site, source in (('', base), *_list_overlay_sources(overlays)):
         try:
             make_effective(bundle, site)
         except DocumentError as error:
-            problems += _name_source(source, error.problems)
+            problems += _add_source(source, error.problems)
     if problems:
         raise DocumentError(problems)
     return bundle
 
 
-def _name_source(source: str, problems: list[str]) -> list[str]:
+def _add_source(source: str, problems: list[str]) -> list[str]:
     keys = [problem.partition(': ')[2] for problem in problems]
     return [f'{source}: {key}' for key in keys]
 
 
-def _name_sources(overlays: list[str]) -> list[tuple[str, str]]:
+def _list_overlay_sources(overlays: list[str]) -> list[tuple[str, str]]:
     return [(Path(path).name.removesuffix(SUFFIX), path) for path in overlays]
 
 
 def _check(parsed: argparse.Namespace) -> int:
     bundle = read_files(parsed.base, parsed.overlays)
-    write_line(f'good, with {len(bundle.overlays)} overlays')
+    write_line(f'valid, with {len(bundle.overlays)} overlays')
     return 0
 
 
@@ -159,7 +159,7 @@
     bundle = read_files(parsed.base, parsed.overlays)
     current = _read_current(parsed)
     newest = current.version if current else 0
-    asked = Application(
+    change = Application(
         edited=newest if parsed.edited is None else parsed.edited,
         operation=secrets.token_hex(8),
         operator=getpass.getuser(),
@@ -167,7 +167,7 @@
         overlays=bundle.overlays,
     )
     try:
-        raw = _send(parsed, asked)
+        raw = _send(parsed, change)
     except CommandError as error:
         if str(error).startswith('conflict'):
             _show_conflict(parsed, bundle)
@@ -177,17 +177,17 @@
     return 0
 
 
-def _send(parsed: argparse.Namespace, asked: Application) -> bytes:
-    """Send an application; the same operation may be sent again."""
-    for _ in range(TRIES):
+def _send(parsed: argparse.Namespace, change: Application) -> bytes:
+    """Send a change; repeating it is safe, the operation identifies it."""
+    for _ in range(MAX_ATTEMPTS):
         try:
-            return call_admin(parsed, 'POST', 'configuration', asked)
+            return call_admin(parsed, 'POST', 'configuration', change)
         except CommandError as error:
             if not str(error).startswith('outcome_unknown'):
                 raise
     raise CommandError(
-        f'it is not known whether operation {asked.operation} was accepted; '
-        'look at config history',
+        f'it is not known whether operation {change.operation} was accepted; '
+        'check config history',
     )
 
 
@@ -218,10 +218,10 @@
 
 
 def render_diff(old: Bundle | None, new: Bundle | None) -> list[str]:
-    """Show what differs between two configurations.
+    """Render the differences between two configurations.
 
-    :param old: first one, ``None`` for none.
-    :param new: second one.
+    :param old: old configuration, ``None`` if there is none.
+    :param new: new configuration, ``None`` if there is none.
     :returns: lines of a unified diff.
     """
     texts = [
@@ -247,9 +247,9 @@
 
 
 ACTIONS = (
-    ('check', 'check files as each site would', _check),
-    ('diff', 'show what files would change', _diff),
-    ('show', 'show what is in force', _show),
-    ('apply', 'put files in force at every site', _apply),
+    ('check', 'validate files for each site', _check),
+    ('diff', 'show what applying files would change', _diff),
+    ('show', 'show the configuration in force', _show),
+    ('apply', 'apply files at every site', _apply),
     ('history', 'list accepted versions', _list_history),
 )
--- a/tests/features/operators.feature
+++ b/tests/features/operators.feature
@@ -6,7 +6,7 @@
     When the operator runs "fleet"
     Then it ends with status 0 and shows "netlist-llm-6"
     When the operator runs "config check BASE NADI"
-    Then it ends with status 0 and shows "good, with 1 overlays"
+    Then it ends with status 0 and shows "valid, with 1 overlays"
     When the operator runs "config apply BASE NADI"
     Then it ends with status 0 and shows "version 2 is accepted"
     When the operator runs "config apply --edited 1 BASE"
