--- a/src/wigeonpier/cli/explain.py
+++ b/src/wigeonpier/cli/explain.py
@@ -1,4 +1,4 @@
-"""Puts together what the logs tell of one request, job or item."""
+"""Collects the log lines of one request, job or item."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     import argparse
     from collections.abc import Iterable, Iterator
 
-# Beliefs that changed this long before the first line of an id may explain it.
-BEFORE_SECONDS = 30.0
-BELIEFS = frozenset(
+# State changes up to this long before the first line of an id may explain it.
+LOOKBACK_SECONDS = 30.0
+STATE_EVENTS = frozenset(
     (
         'configuration_applied',
         'configuration_refused',
@@ -43,11 +43,11 @@
 class LogLine:
     """One line of a log.
 
-    :param timestamp: when, as ISO text, which sorts by time.
-    :param process: who wrote it.
+    :param timestamp: ISO 8601 text, which sorts by time.
+    :param process: process that wrote the line.
     :param event: name of the event.
-    :param fields: what happened.
-    :param text: the whole line, to look for an id.
+    :param fields: all fields of the line.
+    :param text: complete line, searched for an id.
     """
 
     timestamp: str
@@ -68,7 +68,7 @@
 
 
 def run_explain(parsed: argparse.Namespace) -> int:
-    """Show the lines of one id and of what they rested on.
+    """Show the lines of one id and the state changes around them.
 
     :param parsed: options.
     :returns: exit status.
@@ -77,13 +77,13 @@
         (line for path in parsed.logs for line in read_log(path)),
         key=lambda line: line.timestamp,
     )
-    told = select_lines(lines, parsed.id)
-    if not told:
+    selected = select_lines(lines, parsed.id)
+    if not selected:
         raise CommandError(
-            f'no line names {parsed.id}; ordinary answers are told one in 16,'
-            ' look at the metrics of their route',
+            f'no line names {parsed.id}; only one in 16 ordinary answers is'
+            ' logged, see the metrics of the route',
         )
-    for line in told:
+    for line in selected:
         write_line(render_line(line))
     return 0
 
@@ -91,8 +91,8 @@
 def read_log(path: str) -> Iterator[LogLine]:
     """Read the numbered events of a log.
 
-    :param path: the file; lines may begin with other columns.
-    :yields: its events.
+    :param path: log file; other columns may precede the JSON of a line.
+    :yields: a line for each event; other lines are skipped.
     """
     for text in Path(path).read_text(encoding='utf-8').splitlines():
         start = text.find('{')
@@ -113,32 +113,32 @@
 def select_lines(lines: list[LogLine], identity: str) -> list[LogLine]:
     """Choose the lines that explain an id.
 
-    :param lines: all lines in order of time.
-    :param identity: what is asked for.
-    :returns: lines that name it, and changes of belief about the upstreams,
-        processes and the store that these lines rest on.
+    :param lines: all lines, sorted by time.
+    :param identity: id of a request, job or batch item.
+    :returns: lines that name it, and earlier state changes of the upstreams and
+        processes in these lines, including failures of the store.
     """
     quoted = f'"{identity}"'
     named = [line for line in lines if quoted in line.text]
     if not named:
         return []
-    names = set(_find_names(named))
-    first = _read_seconds(named[0].timestamp) - BEFORE_SECONDS
-    last = named[-1].timestamp
-    beliefs = [
+    components = set(_list_components(named))
+    earliest = _read_seconds(named[0].timestamp) - LOOKBACK_SECONDS
+    latest = named[-1].timestamp
+    changes = [
         line
         for line in lines
-        if line.event in BELIEFS
-        and line.timestamp <= last
-        and _read_seconds(line.timestamp) >= first
-        and _concerns(line, names)
+        if line.event in STATE_EVENTS
+        and line.timestamp <= latest
+        and _read_seconds(line.timestamp) >= earliest
+        and _affects(line, components)
     ]
-    chosen = {id(line) for line in (*named, *beliefs)}
+    chosen = {id(line) for line in (*named, *changes)}
     return [line for line in lines if id(line) in chosen]
 
 
 def render_line(line: LogLine) -> str:
-    """Show one line for a reader.
+    """Format one line for the terminal.
 
     :param line: the line.
     :returns: time, process, event and fields.
@@ -151,7 +151,7 @@
     return f'{line.timestamp} {line.process:<18} {line.event:<22} {fields}'
 
 
-def _find_names(named: Iterable[LogLine]) -> Iterator[str]:
+def _list_components(named: Iterable[LogLine]) -> Iterator[str]:
     for line in named:
         yield line.process
         yield str(line.fields.get('upstream', line.process))
@@ -159,11 +159,11 @@
             yield str(send['upstream'])
 
 
-def _concerns(line: LogLine, names: set[str]) -> bool:
+def _affects(line: LogLine, components: set[str]) -> bool:
     own = {line.process, str(line.fields.get('upstream', ''))}
     if line.event.startswith('upstream_'):
-        return str(line.fields.get('upstream', '')) in names
-    return bool(own & names)
+        return str(line.fields.get('upstream', '')) in components
+    return bool(own & components)
 
 
 def _read_seconds(timestamp: str) -> float:
