--- a/src/wigeonpier/cli/calls.py
+++ b/src/wigeonpier/cli/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the command line to the administration listener."""
+"""Calls the administration listener and prints results."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 ADDRESS_VARIABLE = 'WIGEONPIER_ADMIN'
 KEY_VARIABLE = 'WIGEONPIER_KEY'
 DEFAULT_ADDRESS = '127.0.0.1:8101'
-PATIENCE_SECONDS = 30.0
-PAGE_SECONDS = 5.0
+CALL_TIMEOUT_SECONDS = 30.0
+PAGE_TIMEOUT_SECONDS = 5.0
 
 Model = TypeVar('Model')
 
 
 class CommandError(Exception):
-    """A command that failed; its text tells what to do."""
+    """A command failed; the message says what to do."""
 
 
 def add_connection(parser: argparse.ArgumentParser) -> None:
-    """Declare how to reach the administration listener.
+    """Declare the options for connecting to the administration listener.
 
     :param parser: parser of a sub-command.
     """
@@ -63,22 +63,22 @@
     :param parsed: options with the connection.
     :param method: HTTP method.
     :param path: path below ``/admin/v1/``.
-    :param content: body, ``None`` for none.
-    :returns: body of a good answer.
-    :raises CommandError: when there is none.
+    :param content: body to encode as JSON, ``None`` for no body.
+    :returns: body of the answer.
+    :raises CommandError: if the call fails or is refused.
     """
-    called = HttpCaller({PEER_KEY: parsed.key}).call(
+    outcome = HttpCaller({PEER_KEY: parsed.key}).call(
         parsed.admin,
         method,
         f'/admin/v1/{path}',
         b'' if content is None else msgspec.json.encode(content),
-        patience=PATIENCE_SECONDS,
+        patience=CALL_TIMEOUT_SECONDS,
     )
-    if isinstance(called, Err):
+    if isinstance(outcome, Err):
         raise CommandError(
             'the entry does not answer; set --admin to a live one',
         )
-    reply = called.ok_value
+    reply = outcome.ok_value
     if reply.is_good:
         return reply.body
     error = reply.decode(ErrorPage).error
@@ -86,26 +86,26 @@
 
 
 def fetch_page(address: str, method: str, path: str) -> bytes:
-    """Call a page for operators beside the metrics of a hosted process.
+    """Fetch an operators' page of a hosted process's metrics listener.
 
-    :param address: ``host:port`` of its metrics.
+    :param address: ``host:port`` of the metrics listener.
     :param method: HTTP method.
     :param path: path of the page.
-    :returns: body of a good answer.
-    :raises CommandError: when there is none.
+    :returns: body of the answer.
+    :raises CommandError: if the call fails or is refused.
     """
-    called = HttpCaller({}).call(
+    outcome = HttpCaller({}).call(
         address,
         method,
         path,
-        patience=PAGE_SECONDS,
+        patience=PAGE_TIMEOUT_SECONDS,
     )
-    if isinstance(called, Err):
+    if isinstance(outcome, Err):
         raise CommandError(f'{address} does not answer')
-    reply = called.ok_value
+    reply = outcome.ok_value
     if not reply.is_good:
-        told = reply.body.decode()
-        raise CommandError(f'{address}: {told}')
+        message = reply.body.decode()
+        raise CommandError(f'{address}: {message}')
     return reply.body
 
 
@@ -120,8 +120,8 @@
 def write_table(head: tuple[str, ...], rows: list[tuple[Any, ...]]) -> None:
     """Print a table with aligned columns.
 
-    :param head: names of the columns.
-    :param rows: cells.
+    :param head: column names.
+    :param rows: cells of each row.
     """
     texts = [head, *(tuple(map(str, row)) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
--- a/src/wigeonpier/cli/customers.py
+++ b/src/wigeonpier/cli/customers.py
@@ -1,4 +1,4 @@
-"""Sub-command for customers on the platform, their limits and their use."""
+"""Sub-command for the limits and usage of customers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 
     :param parser: parser of the sub-command.
     """
-    parser.add_argument('address', help="host:port of an entry's metrics")
+    parser.add_argument(
+        'address', help="host:port of an entry's metrics listener"
+    )
     parser.add_argument(
         '--json',
         action='store_true',
@@ -33,7 +35,7 @@
 
 
 def run_customers(parsed: argparse.Namespace) -> int:
-    """Show what customers may use, use, and who counts it.
+    """Show the limits and usage of all customers.
 
     :param parsed: options.
     :returns: exit status.
@@ -42,14 +44,22 @@
     if parsed.json:
         sys.stdout.write(f'{raw.decode()}\n')
         return 0
-    told = msgspec.json.decode(raw, type=CustomerOverview)
+    overview = msgspec.json.decode(raw, type=CustomerOverview)
     write_line(
-        f'version {told.version}, known to be the newest {told.age} s ago; '
-        f'{told.counters} processes count requests',
+        f'version {overview.version}, confirmed as newest {overview.age} s ago; '
+        f'{overview.counters} processes count requests',
     )
     write_table(
-        ('customer', 'a second', 'burst', 'rank', 'used', 'here', 'refused'),
-        [_make_row(row) for row in told.customers],
+        (
+            'customer',
+            'rate/s',
+            'burst',
+            'priority',
+            'used',
+            'this entry',
+            'refused',
+        ),
+        [_make_row(row) for row in overview.customers],
     )
     return 0
 
@@ -57,15 +67,15 @@
 def _make_row(row: LimitRow) -> tuple[str, ...]:
     cells = [
         row.customer,
-        _write_number(row.rate) if row.rate else 'any',
-        _write_number(row.burst),
+        _format_number(row.rate) if row.rate else 'any',
+        _format_number(row.burst),
         'route' if row.priority is None else str(row.priority),
-        _write_number(row.used),
-        _write_number(row.here),
+        _format_number(row.used),
+        _format_number(row.here),
         str(row.refused),
     ]
     return tuple(cells)
 
 
-def _write_number(number: float) -> str:
+def _format_number(number: float) -> str:
     return format(number, 'g')
--- a/src/wigeonpier/cli/docs.py
+++ b/src/wigeonpier/cli/docs.py
@@ -1,4 +1,4 @@
-"""Writes the catalogues in the docs from the code, or checks them."""
+"""Generates the reference pages in the docs, or checks them."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
     parser.add_argument(
         '--check',
         action='store_true',
-        help='fail where a page does not match the code',
+        help='fail if a page does not match the code',
     )
     parser.set_defaults(run=run_docs)
 
 
 def run_docs(parsed: argparse.Namespace) -> int:
-    """Write or check the catalogues.
+    """Write or check the reference pages.
 
     :param parsed: options.
     :returns: exit status.
@@ -43,13 +43,13 @@
         if not parsed.check:
             path.write_text(text, encoding='utf-8')
         elif not path.exists() or path.read_text(encoding='utf-8') != text:
-            raise CommandError(f'{path} is stale; run wigeonpier docs')
-        write_line(f'{path}: good')
+            raise CommandError(f'{path} is outdated; run wigeonpier docs')
+        write_line(f'{path}: up to date')
     return 0
 
 
 def render_events() -> str:
-    """Render the catalogue of log events.
+    """Render the reference page of log events.
 
     :returns: the page.
     """
@@ -74,7 +74,7 @@
 
 
 def render_errors() -> str:
-    """Render the table of error kinds and their answers.
+    """Render the reference page of error kinds.
 
     :returns: the page.
     """
--- a/src/wigeonpier/cli/main.py
+++ b/src/wigeonpier/cli/main.py
@@ -24,17 +24,17 @@
 FAILED_STATUS = 1
 
 COMMANDS = (
-    ('fleet', 'processes and their state', operate.add_fleet),
-    ('jobs', 'batch jobs of all customers', operate.add_jobs),
-    ('usage', 'what kept results add up to', operate.add_usage),
-    ('drain', 'give a VM no new work', operate.add_drain),
-    ('key', "draw a customer's key", operate.add_key),
+    ('fleet', 'list processes and their state', operate.add_fleet),
+    ('jobs', 'list, watch or cancel batch jobs', operate.add_jobs),
+    ('usage', 'show usage totals per customer', operate.add_usage),
+    ('drain', 'stop giving a VM new work', operate.add_drain),
+    ('key', 'generate a customer key', operate.add_key),
     ('config', 'check and apply configurations', configure.add_arguments),
-    ('demo', 'a whole site on loopback', demo.add_arguments),
-    ('suspects', 'requests that upstreams end under', suspects.add_arguments),
-    ('customers', 'limits and use of customers', customers.add_arguments),
-    ('explain', 'what logs tell of one id', explain.add_arguments),
-    ('docs', 'catalogues in the docs', docs.add_arguments),
+    ('demo', 'run a complete site on loopback', demo.add_arguments),
+    ('suspects', 'requests that crash upstreams', suspects.add_arguments),
+    ('customers', 'limits and usage of customers', customers.add_arguments),
+    ('explain', 'collect the log lines of one id', explain.add_arguments),
+    ('docs', 'generate reference pages', docs.add_arguments),
 )
 
 
@@ -55,7 +55,7 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one sub-command.
 
-    :param arguments: command line, the process's own by default.
+    :param arguments: command line, default: that of the process.
     :returns: exit status.
     """
     parsed = make_parser().parse_args(arguments)
--- a/src/wigeonpier/cli/operate.py
+++ b/src/wigeonpier/cli/operate.py
@@ -25,7 +25,7 @@
 KEY_BYTES = 24
 WATCH_SECONDS = 1.0
 BAR_WIDTH = 30
-ENDED = frozenset((JobStatus.completed, JobStatus.cancelled))
+FINISHED_STATUSES = frozenset((JobStatus.completed, JobStatus.cancelled))
 
 
 def add_fleet(parser: argparse.ArgumentParser) -> None:
@@ -64,7 +64,9 @@
     :param parser: parser of the sub-command.
     """
     parser.add_argument('vm', help='name of the VM')
-    parser.add_argument('--undo', action='store_true', help='give work again')
+    parser.add_argument(
+        '--undo', action='store_true', help='resume giving it new work'
+    )
     add_connection(parser)
     parser.set_defaults(run=run_drain)
 
@@ -78,7 +80,7 @@
 
 
 def show_fleet(parsed: argparse.Namespace) -> int:
-    """List the processes that an entry knows.
+    """List the processes that are known to an entry.
 
     :param parsed: options.
     :returns: exit status.
@@ -96,7 +98,7 @@
                 member.role.value,
                 member.data_centre,
                 member.version,
-                _name_state(member),
+                _describe_state(member),
                 f'{member.online}/{member.slots}' if member.service else '-',
                 member.batch if member.service else '-',
             )
@@ -123,14 +125,14 @@
             write_line(raw.decode())
         else:
             _write_jobs(jobs)
-        is_over = all(job.status in ENDED for job in jobs)
-        if parsed.action == 'list' or is_over:
+        are_finished = all(job.status in FINISHED_STATUSES for job in jobs)
+        if parsed.action == 'list' or are_finished:
             return 0
         time.sleep(WATCH_SECONDS)
 
 
 def show_usage(parsed: argparse.Namespace) -> int:
-    """Show what kept results add up to, by customer.
+    """Show the totals of stored results per customer.
 
     :param parsed: options.
     :returns: exit status.
@@ -141,7 +143,7 @@
         return 0
     pages = msgspec.json.decode(raw, type=list[UsagePage])
     write_table(
-        ('customer', 'jobs', 'answered', 'read tokens', 'written tokens'),
+        ('customer', 'jobs', 'succeeded', 'prompt tokens', 'answer tokens'),
         [
             (
                 page.customer,
@@ -157,7 +159,7 @@
 
 
 def run_drain(parsed: argparse.Namespace) -> int:
-    """Give a VM no new work, or take that back.
+    """Stop giving a VM new work, or resume it.
 
     :param parsed: options.
     :returns: exit status.
@@ -169,9 +171,9 @@
 
 
 def make_key(_parsed: argparse.Namespace) -> int:
-    """Draw a customer's key and its hash.
+    """Generate a customer key and print it with its hash.
 
-    :param _parsed: options.
+    :param _parsed: options, not used.
     :returns: exit status.
     """
     key = secrets.token_urlsafe(KEY_BYTES)
@@ -180,12 +182,12 @@
     return 0
 
 
-def _name_state(member: MemberPage) -> str:
+def _describe_state(member: MemberPage) -> str:
     if member.is_leaving:
         return 'leaving'
     if member.silent_seconds > SILENT_SECONDS:
-        silent = round(member.silent_seconds)
-        return f'silent {silent} s'
+        seconds = round(member.silent_seconds)
+        return f'silent {seconds} s'
     return 'live'
 
 
@@ -196,7 +198,7 @@
             (
                 job.id,
                 job.status.value,
-                _draw_bar(job),
+                _render_bar(job),
                 job.request_counts.completed,
                 job.request_counts.failed,
                 job.request_counts.total,
@@ -206,8 +208,8 @@
     )
 
 
-def _draw_bar(job: BatchPage) -> str:
+def _render_bar(job: BatchPage) -> str:
     counts = job.request_counts
-    share = (counts.completed + counts.failed) / max(1, counts.total)
-    filled = '#' * round(share * BAR_WIDTH)
+    fraction = (counts.completed + counts.failed) / max(1, counts.total)
+    filled = '#' * round(fraction * BAR_WIDTH)
     return filled.ljust(BAR_WIDTH, '.')
--- a/src/wigeonpier/cli/servedcheck.py
+++ b/src/wigeonpier/cli/servedcheck.py
@@ -1,4 +1,4 @@
-"""Checks a configuration as the platform's operator writes it."""
+"""Checks a configuration written by the platform's operator."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     import argparse
 
-ODD_STATUS = 1
+WARNING_STATUS = 1
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -21,15 +21,17 @@
 
     :param parser: parser of the action.
     """
-    parser.add_argument('file', help="value of the operator's key")
+    parser.add_argument(
+        'file', help="file with the value of the operator's key"
+    )
     parser.set_defaults(run=run_check)
 
 
 def run_check(parsed: argparse.Namespace) -> int:
-    """Tell what entries would make of a configuration.
+    """Report how entries would interpret a configuration.
 
     :param parsed: options.
-    :returns: exit status, 1 where anything in it cannot be meant.
+    :returns: exit status, 1 if any entry looks like a mistake.
     """
     path = Path(parsed.file)
     try:
@@ -40,6 +42,6 @@
     routes = len(found.routes)
     write_line(f'version {found.version}: {routes} routes')
     write_line(f'{len(names)} customers, {len(found.customers or {})} keys')
-    for oddity in found.oddities:
-        write_line(oddity)
-    return ODD_STATUS if found.oddities else 0
+    for warning in found.oddities:
+        write_line(warning)
+    return WARNING_STATUS if found.oddities else 0
--- a/src/wigeonpier/cli/suspects.py
+++ b/src/wigeonpier/cli/suspects.py
@@ -1,4 +1,4 @@
-"""Sub-command for requests under which upstreams have ended."""
+"""Sub-command for requests that are suspected of crashing upstreams."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 
     :param parser: parser of the sub-command.
     """
-    parser.add_argument('address', help="host:port of an entry's metrics")
-    parser.add_argument('--clear', help='fingerprint that is run again')
+    parser.add_argument(
+        'address', help="host:port of an entry's metrics listener"
+    )
+    parser.add_argument('--clear', help='fingerprint of a request to run again')
     parser.add_argument(
         '--json',
         action='store_true',
@@ -30,7 +32,7 @@
 
 
 def run_suspects(parsed: argparse.Namespace) -> int:
-    """Show suspected requests, or clear one at all processes.
+    """Show suspected requests, or clear one in all processes.
 
     :param parsed: options.
     :returns: exit status.
@@ -45,18 +47,24 @@
         return 0
     rows = msgspec.json.decode(raw, type=list[SuspectRow])
     write_table(
-        ('fingerprint', 'state', 'age s', 'ended under it', 'of them alone'),
+        (
+            'fingerprint',
+            'state',
+            'age s',
+            'crashed upstreams',
+            'running only it',
+        ),
         [_make_row(row) for row in rows],
     )
     return 0
 
 
 def _make_row(row: SuspectRow) -> tuple[str, ...]:
-    alone = [end.upstream for end in row.ends if end.was_alone]
+    isolated = [crash.upstream for crash in row.ends if crash.was_alone]
     return (
         row.fingerprint,
         'refused' if row.is_refused else 'suspected',
         f'{row.age:.0f}',
-        ' '.join(end.upstream for end in row.ends),
-        ' '.join(alone),
+        ' '.join(crash.upstream for crash in row.ends),
+        ' '.join(isolated),
     )
