--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""What the logs tell of one request, job or item."""
+"""Tests of ``explain``."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 def write_log(path, *events: tuple[int, str, str, dict]) -> str:
-    """Write a log, with a column before the lines as some collectors do."""
+    """Write a log whose lines have a leading column, as some collectors add."""
     with path.open('w') as log:
-        for second, process, event, fields in events:
+        for seconds, process, event, fields in events:
             line = {
                 'event': event,
                 'process': process,
-                'timestamp': f'2026-12-02T20:00:{second:02}.0Z',
+                'timestamp': f'2026-12-02T20:00:{seconds:02}.0Z',
             }
-            log.write(f' {second}.0 {process} {json.dumps(line | fields)}\n')
-        log.write('not a line of ours\n')
+            log.write(f' {seconds}.0 {process} {json.dumps(line | fields)}\n')
+        log.write('not a JSON line\n')
     return str(path)
 
 
 @pytest.fixture
 def logs(tmp_path) -> list[str]:
-    """Make the logs of two processes around one failed question."""
+    """Write the logs of two processes around one failed request."""
     return [
         write_log(
             tmp_path / 'edge-1',
@@ -50,12 +50,14 @@
     ]
 
 
-def test_lines_of_an_id_and_its_beliefs_are_shown(logs, capsys) -> None:
+def test_lines_of_an_id_and_related_state_changes_are_shown(
+    logs, capsys
+) -> None:
     assert main(['explain', 'q', *logs]) == 0
     shown = [line.split()[2] for line in capsys.readouterr().out.splitlines()]
     assert shown == ['upstream_added', 'request_retried', 'request_done']
 
 
-def test_an_unknown_id_says_where_else_to_look(logs, capsys) -> None:
-    assert main(['explain', 'nobody', *logs]) == 1
+def test_an_unknown_id_is_refused_with_a_hint(logs, capsys) -> None:
+    assert main(['explain', 'unknown', *logs]) == 1
     assert 'metrics' in capsys.readouterr().err
--- a/tests/cli/test_servedcheck.py
+++ b/tests/cli/test_servedcheck.py
@@ -1,4 +1,4 @@
-"""What entries make of a configuration is told before it is in force."""
+"""Tests of ``config check-platform``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def check(tmp_path, capsys: pytest.CaptureFixture[str]):
-    """Give a function that checks customers."""
+    """Return a function that checks a configuration with given customers."""
 
     def run(*customers: dict) -> tuple[int, str]:
         path = tmp_path / 'configuration.json'
@@ -23,20 +23,20 @@
     return run
 
 
-def test_a_sound_one_is_counted(check) -> None:
-    status, told = check(make_customer('a', 'k1', 'k2'))
+def test_a_valid_configuration_is_summarized(check) -> None:
+    status, output = check(make_customer('a', 'k1', 'k2'))
     assert status == 0
-    assert '1 customers, 2 keys' in told
+    assert '1 customers, 2 keys' in output
 
 
-def test_an_odd_one_fails_and_shows_no_key(check) -> None:
-    status, told = check(make_customer('a', 'k1'), make_customer('b', 'k1'))
+def test_a_shared_key_fails_and_is_not_shown(check) -> None:
+    status, output = check(make_customer('a', 'k1'), make_customer('b', 'k1'))
     assert status == 1
-    assert 'a and b have a key in common' in told
-    assert 'k1' not in told
+    assert 'a and b have a key in common' in output
+    assert 'k1' not in output
 
 
-def test_what_is_none_is_said(tmp_path) -> None:
+def test_an_undecodable_file_fails(tmp_path) -> None:
     path = tmp_path / 'x.json'
     path.write_text('{"version": 1}')
     assert main(['config', 'check-platform', str(path)]) == 1
