--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""Runs the features side by side, each in a process of its own."""
+"""Runs the features concurrently, each in a separate process."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     r'^  tests/features/\S+\.feature:\d+  (.+)$',
     re.MULTILINE,
 )
-# Scenarios mostly wait; more of them at once would press for processors.
-AT_ONCE = 4
+# Scenarios mostly wait; a higher number would make them compete for CPU.
+MAX_CONCURRENT = 4
 COMMAND = (sys.executable, '-m', 'behave', '--format', 'progress2')
 
 
 def run_feature(path: Path) -> subprocess.CompletedProcess[str]:
     """Run one feature.
 
-    :param path: its file.
-    :returns: how it ended, with what it printed.
+    :param path: feature file.
+    :returns: exit status and output.
     """
     return subprocess.run(
         (*COMMAND, '--no-capture', str(path)),
@@ -35,7 +35,7 @@
 
 
 def list_known_red() -> set[str]:
-    """List scenarios that are known to fail, each with its cause.
+    """List the tests and scenarios that are known to fail.
 
     :returns: their names.
     """
@@ -45,14 +45,14 @@
     return {line.partition(' | ')[0] for line in lines if line}
 
 
-def find_unexpected(printed: str, known: set[str]) -> list[str]:
-    """Find the scenarios that failed and are not known to.
+def find_unexpected(output: str, known: set[str]) -> list[str]:
+    """Find failed scenarios that are not known to fail.
 
-    :param printed: what a failed run printed.
+    :param output: output of a failed run.
     :param known: names of scenarios that are known to fail.
-    :returns: their names, or a word where none is named at all.
+    :returns: their names, or a placeholder if the output names no scenario.
     """
-    failed = FAILED_SCENARIO.findall(printed)
+    failed = FAILED_SCENARIO.findall(output)
     unexpected = [name for name in failed if name not in known]
     return unexpected if failed else ['a run that names no scenario']
 
@@ -60,26 +60,26 @@
 def main() -> int:
     """Run all features.
 
-    :returns: 1 where any of them failed, or none was found.
+    :returns: 1 if a feature failed unexpectedly or none was found.
     """
     paths = sorted(
         FEATURES.glob('*.feature'),
         key=lambda path: -path.stat().st_size,
     )
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        ended = list(pool.map(run_feature, paths))
-    for path, run in zip(paths, ended, strict=True):
+    with ThreadPoolExecutor(MAX_CONCURRENT) as pool:
+        runs = list(pool.map(run_feature, paths))
+    for path, run in zip(paths, runs, strict=True):
         sys.stdout.write(f'== {path.name}: exit {run.returncode}\n{run.stdout}')
     known = list_known_red()
     sys.stdout.writelines(f'known red: {name}\n' for name in sorted(known))
     failed = [
         name
-        for run in ended
+        for run in runs
         if run.returncode
         for name in find_unexpected(run.stdout, known)
     ]
-    sys.stdout.write(f'{len(ended)} features, failed: {failed}\n')
-    return int(bool(failed) or not ended)
+    sys.stdout.write(f'{len(runs)} features, failed: {failed}\n')
+    return int(bool(failed) or not runs)
 
 
 if __name__ == '__main__':
