--- a/tests/features/client.feature
+++ b/tests/features/client.feature
@@ -1,10 +1,10 @@
-Feature: A client that nobody here wrote
-  The official client works against the demo, as a newcomer would run it.
+Feature: The official client
+  The official client works against the demo with its default settings.
 
   Scenario: Streamed chat and a batch of 300 items
-    Given the demo held as a process of its own
+    Given the demo serving in a separate process
     When the official client streams a chat
-    Then the chat is whole
+    Then the chat is complete
     When the official client runs a batch of 300 items
-    Then each item comes back once
-    And the process ends cleanly when it is interrupted
+    Then each item is returned once
+    And the process exits with status 0 when it is interrupted
--- a/tests/features/configuration.feature
+++ b/tests/features/configuration.feature
@@ -7,13 +7,13 @@
     When a deadline of 33 s is applied
     Then it is in force in every process within 6 s
 
-  Scenario: Of two operators one wins and the other is told
+  Scenario: Of two concurrent changes one is accepted and the other refused
     Given a site
     When two operators apply different changes of the same version at once
-    Then one change is accepted and the other operator is told who was faster
+    Then one change is accepted and the other is refused naming the winning operator
     And the accepted change is in force in every process within 6 s
 
-  Scenario: An operator is not told failed when it was accepted
+  Scenario: An accepted change is not reported as failed
     Given a site
     When half of the answers to writes are lost
     And 6 changes are applied one after the other
@@ -34,14 +34,14 @@
     When a deadline of 55 s is applied and the key-value service goes down
     And an entry and a replica start
     Then it is in force in every process within 6 s
-    And a question still gets its whole answer
+    And a request still gets its complete answer
 
-  Scenario: A paused process catches up before it acts
+  Scenario: A paused process catches up when it resumes
     Given a site
     When a replica is frozen while a deadline of 66 s is applied
     Then it is in force in every process within 6 s
 
-  Scenario: A change that a site could not run with is refused
+  Scenario: A change that is invalid for one site is refused
     Given a site
     When a change is applied whose overlay breaks "nadi-1"
     Then it is refused naming the site and the key
@@ -50,4 +50,4 @@
   Scenario: A revoked key is refused within seconds
     Given a site
     When the key of "suva-design-shop" is revoked
-    Then its questions are refused within 6 s
+    Then its requests are refused within 6 s
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Sets up what scenarios need."""
+"""Sets up and checks each scenario."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 def before_scenario(context: Context, _scenario: Scenario) -> None:
-    """Give each scenario a bench of its own."""
+    """Create a new bench for the scenario."""
     violations.clear()
     context.bench = Bench()
 
 
 def after_scenario(context: Context, scenario: Scenario) -> None:
-    """Stop what the scenario started; no promise may have been broken."""
+    """Stop the site and fail if an invariant was violated."""
     context.bench.close()
     if not getattr(context, 'expects_violation', False):
         assert not violations, f'{scenario.name}: {dict(violations)}'
--- a/tests/features/online.feature
+++ b/tests/features/online.feature
@@ -1,18 +1,18 @@
 Feature: Online requests
-  A caller of the published interface gets the whole answer to its own
-  request, or a clear refusal that is true.
+  A caller of the published interface gets the complete answer to its own
+  request, or a clear and accurate refusal.
 
-  Scenario: Many questions at once each get their own whole answer
+  Scenario: Many requests at once each get their own complete answer
     Given a site
-    When 40 questions are asked at once
-    Then each question got its own whole answer
+    When 40 requests are sent at once
+    Then each request got its own complete answer
     And a trace joins the entry and the local process
 
-  Scenario Outline: Bad input gets a clear refusal and harms nothing else
+  Scenario Outline: Bad input gets a clear refusal and does not affect other requests
     Given a site
     When the request "<case>" is sent
     Then the answer has status <status>, kind "<kind>" and says ran "no"
-    And a question still gets its whole answer
+    And a request still gets its complete answer
 
     Examples:
       | case              | status | kind             |
@@ -22,7 +22,7 @@
       | wrong key         | 401    | unauthenticated  |
       | no key            | 401    | unauthenticated  |
       | 20 MB body        | 413    | body_too_large   |
-      | odd idempotency   | 400    | invalid_request  |
+      | bad idempotency   | 400    | invalid_request  |
       | unknown path      | 404    | not_found        |
       | wrong method      | 405    | method_not_allowed |
       | unknown service   | 404    | not_found        |
@@ -36,7 +36,7 @@
       | unknown file      | 404    | not_found        |
       | other endpoint    | 400    | invalid_request  |
 
-  Scenario: A plain service is reached with any method and its query
+  Scenario: A plain service is called with any method and a query
     Given a site
     When the track "t1" is read through the service
     Then the service answered
@@ -46,34 +46,34 @@
   Scenario: A call that may not be repeated is sent once when its answer is lost
     Given a site
     When the plain service loses the answer to a credit for "t2"
-    Then the caller is told that it is not known whether it ran
+    Then the answer says that it is not known whether it ran
     And the service was paid 1 time for "t2"
 
-  Scenario: A stream whose upstream dies goes on elsewhere unbroken
+  Scenario: A stream whose upstream crashes continues on another upstream
     Given a site with slow engines
-    When a long question is asked and its upstream dies midway
-    Then that question got its own whole answer
+    When a long request is sent and its upstream crashes midway
+    Then that request got its own complete answer
 
-  Scenario: An upstream that dies gets no more requests, and its work is retried
+  Scenario: An upstream that crashes gets no more requests, and its work is retried
     Given a site
-    When an upstream VM is lost and 30 questions are asked
-    Then each question got its own whole answer
+    When an upstream VM is lost and 30 requests are sent
+    Then each request got its own complete answer
 
-  Scenario: The key-value service is down and questions are answered
+  Scenario: Requests are answered while the key-value service is down
     Given a site
     And the key-value service is down
-    When 20 questions are asked at once
-    Then each question got its own whole answer
+    When 20 requests are sent at once
+    Then each request got its own complete answer
 
-  Scenario: A customer over its rate is refused and told when to come back
-    Given a site where "suva-design-shop" may ask 5 times a second
-    When 40 questions are asked at once
-    Then some were refused with kind "limit_reached" and a time to come back
+  Scenario: A customer over its rate is refused and told when to retry
+    Given a site where "suva-design-shop" may send 5 requests a second
+    When 40 requests are sent at once
+    Then some were refused with kind "limit_reached" and a time to retry
     And no more than 12 were answered
 
-  Scenario: Pages of both daemons
+  Scenario: Metrics and health pages of both daemons
     Given a site
-    When 3 questions are asked at once
+    When 3 requests are sent at once
     Then the metrics of an entry show first tokens
     And the metrics of a local process show queueing
     And every daemon is healthy and ready
@@ -98,9 +98,9 @@
 
   Scenario: A keyed request that was refused before it ran may be sent again
     Given a site
-    When no upstream of the plain service takes work
+    When no upstream of the plain service accepts work
     And a credit for "t6" is paid again with key "k6"
     Then the answer has status 503, kind "no_upstream" and says ran "no"
-    When the plain service takes work again
+    When the plain service accepts work again
     And a credit for "t6" is paid again with key "k6"
     Then the service was paid 1 time for "t6"
--- a/tests/features/operators.feature
+++ b/tests/features/operators.feature
@@ -1,7 +1,7 @@
 Feature: Operators
   The command line shows and changes a running site.
 
-  Scenario: An operator looks around, changes the configuration and cancels
+  Scenario: An operator inspects the site, changes the configuration and cancels a job
     Given a site with slow engines
     When the operator runs "fleet"
     Then it ends with status 0 and shows "netlist-llm-6"
@@ -32,7 +32,7 @@
     When the operator runs "fleet"
     Then it ends with status 0 and shows "leaving"
 
-  Scenario Outline: What goes wrong is said with what to do
+  Scenario Outline: Error messages say what to do
     Given a site
     When the operator runs "<command>"
     Then it ends with status 1 and shows "<text>"
--- a/tests/features/steps/batch_steps.py
+++ b/tests/features/steps/batch_steps.py
@@ -1,4 +1,4 @@
-"""Steps of batch jobs and of what fails under them."""
+"""Steps for batch jobs and the failures injected while they run."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
     from tests.builders import Bench
 
-LENGTH = 8
+ANSWER_TOKENS = 8
 BAD_PROMPTS = {'[[crash]] now': 3, '[[fail]] now': 7, '[[reject]] now': 11}
 
 
 @given('a site with {count:d} entries that each have a data folder')
-def start_wide_site(context: Context, count: int) -> None:
+def start_site_with_folders(context: Context, count: int) -> None:
     context.bench.start(
         entries=count,
         disks=count,
@@ -38,8 +38,8 @@
     )
 
 
-@given('engines that take their time')
-def slow_engines(context: Context) -> None:
+@given('engines that are slowed down')
+def slow_down_engines(context: Context) -> None:
     for replica in context.bench.site.replicas.values():
         if replica.engine:
             replica.engine.batcher.slowdown = 10.0
@@ -47,12 +47,12 @@
 
 @when('a job of {count:d} items is accepted')
 def accept_job(context: Context, count: int) -> None:
-    context.bench.submit(count, LENGTH)
+    context.bench.submit(count, ANSWER_TOKENS)
 
 
 @when('a job of {count:d} items that run at most once is accepted')
-def accept_one_run_job(context: Context, count: int) -> None:
-    context.bench.submit(count, LENGTH, idempotent=False)
+def accept_run_once_job(context: Context, count: int) -> None:
+    context.bench.submit(count, ANSWER_TOKENS, idempotent=False)
 
 
 @when('a job of {count:d} credits is accepted')
@@ -78,9 +78,9 @@
 @when('a job is accepted with items that crash, fail and are rejected')
 def accept_bad_items(context: Context) -> None:
     prompts = [f'corner {number}' for number in range(40)]
-    for prompt, place in BAD_PROMPTS.items():
-        prompts[place] = prompt
-    context.bench.submit(0, LENGTH, prompts)
+    for prompt, position in BAD_PROMPTS.items():
+        prompts[position] = prompt
+    context.bench.submit(0, ANSWER_TOKENS, prompts)
 
 
 @when('an owner is lost with items in flight')
@@ -101,12 +101,12 @@
     replica = bench.site.replicas[name]
     chunks = list(replica.app.worker.stock.chunks.values())
     replica.faults.freeze()
-    wait_for(lambda: all(_is_taken(bench, chunk) for chunk in chunks), 20)
+    wait_for(lambda: all(_is_taken_over(bench, chunk) for chunk in chunks), 20)
     replica.faults.thaw()
 
 
-@when('an owner is cut off from all entries')
-def cut_owner(context: Context) -> None:
+@when('an owner is isolated from all entries')
+def isolate_owner(context: Context) -> None:
     bench = context.bench
     name = wait_for(lambda: _find_busy_owner(bench))
     bench.site.replicas[name].faults.cut_from.update(
@@ -115,7 +115,7 @@
 
 
 @when('the entry that acknowledged it is lost')
-def lose_acknowledger(context: Context) -> None:
+def lose_acknowledging_entry(context: Context) -> None:
     bench = context.bench
     turn = bench.client._turn % len(bench.client.addresses)
     address = bench.client.addresses[turn]
@@ -174,14 +174,14 @@
 
 
 @when('the key-value service goes down once items run')
-def down_while_running(context: Context) -> None:
+def stop_platform_while_running(context: Context) -> None:
     bench = context.bench
     wait_for(lambda: _find_busy_owner(bench))
     bench.site.platform.faults.down = True
 
 
-@when('the key-value service is back')
-def bring_platform_back(context: Context) -> None:
+@when('the key-value service is available again')
+def restart_platform(context: Context) -> None:
     context.bench.site.platform.faults.down = False
 
 
@@ -194,7 +194,7 @@
 
 
 @when('each engine crashes in turn')
-def crash_engines(context: Context) -> None:
+def crash_each_engine(context: Context) -> None:
     bench = context.bench
     for replica in list(bench.site.replicas.values()):
         if replica.engine:
@@ -203,24 +203,26 @@
             gevent.sleep(0.2)
 
 
-@when('a local process with work in hand is told to leave')
-def leave_local(context: Context) -> None:
+@when('a local process with work in progress is stopped gracefully')
+def stop_local(context: Context) -> None:
     bench = context.bench
     name = wait_for(lambda: _find_busy_owner(bench))
     started = time.monotonic()
-    bench.notes['left'] = bench.site.replicas[name].app.leave(10)
-    bench.notes['leaving_seconds'] = time.monotonic() - started
+    bench.notes['remaining_work'] = bench.site.replicas[name].app.leave(10)
+    bench.notes['stop_seconds'] = time.monotonic() - started
     bench.crash_replica(name)
 
 
 @when('the same job is sent to both entries at once with key "{key}"')
-def send_twice(context: Context, key: str) -> None:
+def send_concurrently(context: Context, key: str) -> None:
     bench = context.bench
     bench.items = 20
     prompts = [f'corner {number}' for number in range(bench.items)]
-    file_id = bench.client.upload(make_lines('netlist-llm', prompts, LENGTH))
+    file_id = bench.client.upload(
+        make_lines('netlist-llm', prompts, ANSWER_TOKENS)
+    )
     context.file_id = file_id
-    sent = [
+    requests = [
         gevent.spawn(
             Client([address], bench.client.key, 'netlist-llm').create_batch,
             file_id,
@@ -229,33 +231,33 @@
         for address in bench.site.list_addresses()
         for _ in range(3)
     ]
-    context.jobs = [greenlet.get()['id'] for greenlet in sent]
+    context.jobs = [greenlet.get()['id'] for greenlet in requests]
     bench.job = context.jobs[0]
 
 
 @when('the same job is sent to both entries at once without a key')
-def send_twice_plainly(context: Context) -> None:
-    send_twice(context, '')
+def send_concurrently_without_key(context: Context) -> None:
+    send_concurrently(context, '')
 
 
 @when('the job is sent again with key "{key}"')
 def send_again(context: Context, key: str) -> None:
-    made = context.bench.client.create_batch(
+    batch = context.bench.client.create_batch(
         context.file_id,
         idempotency_key=key,
     )
-    context.jobs.append(made['id'])
+    context.jobs.append(batch['id'])
 
 
 @when('the job is sent again without a key')
-def send_again_plainly(context: Context) -> None:
+def send_again_without_key(context: Context) -> None:
     send_again(context, '')
 
 
 @when('another job is sent with key "{key}"')
 def send_other(context: Context, key: str) -> None:
     client = context.bench.client
-    file_id = client.upload(make_lines('netlist-llm', ['other'], LENGTH))
+    file_id = client.upload(make_lines('netlist-llm', ['other'], ANSWER_TOKENS))
     context.reply = client.call(
         'POST',
         '/v1/batches',
@@ -270,7 +272,7 @@
 
 
 @then('the job ends as "{status}"')
-def check_end(context: Context, status: str) -> None:
+def check_final_status(context: Context, status: str) -> None:
     context.bench.finish()
     assert context.bench.batch['status'] == status, context.bench.batch
 
@@ -301,7 +303,7 @@
     )
     (page,) = msgspec.json.decode(reply.unwrap().body)
     assert page['tally']['succeeded'] == count, page
-    assert page['tally']['answer_tokens'] == count * LENGTH, page
+    assert page['tally']['answer_tokens'] == count * ANSWER_TOKENS, page
 
 
 @then('no item was started twice')
@@ -311,8 +313,8 @@
         prompt: bench.count_starts(prompt)
         for prompt in (f'corner {number}' for number in range(bench.items))
     }
-    twice = {prompt: count for prompt, count in starts.items() if count > 1}
-    assert not twice, twice
+    repeated = {prompt: count for prompt, count in starts.items() if count > 1}
+    assert not repeated, repeated
 
 
 @then('items without an answer end as "{code}"')
@@ -322,12 +324,12 @@
     assert {error['code'] for error in errors} == {code}, errors
 
 
-@then('items in hand go on')
-def check_in_hand(context: Context) -> None:
+@then('items in progress continue')
+def check_progress(context: Context) -> None:
     bench = context.bench
-    before = _count_made(bench)
+    before = _count_tokens(bench)
     gevent.sleep(0.5)
-    assert _count_made(bench) > before
+    assert _count_tokens(bench) > before
 
 
 @then('a new job is refused with ran "{ran}"')
@@ -347,12 +349,12 @@
 
 
 @then('the results of an earlier job are not lost')
-def check_nothing_lost(context: Context) -> None:
+def check_results_stored(context: Context) -> None:
     platform = context.bench.site.platform
     assert any('/jobs/' in key for key in platform.cells)
 
 
-@then('both got the same job')
+@then('all answers name the same job')
 @then('it is the same job')
 def check_same_job(context: Context) -> None:
     assert len(set(context.jobs)) == 1, context.jobs
@@ -369,23 +371,23 @@
     bench = context.bench
     since = time.monotonic() - bench.notes['cancelled']
     gevent.sleep(max(0, seconds - since))
-    before = _count_started(bench)
+    before = _count_starts(bench)
     gevent.sleep(1)
-    assert _count_started(bench) == before
+    assert _count_starts(bench) == before
 
 
 @then('the items that crash, fail and are rejected have failed')
 def check_bad_items(context: Context) -> None:
     by_id = {line['custom_id']: line for line in context.bench.results}
-    for place in BAD_PROMPTS.values():
-        line = by_id[f'item-{place}']
+    for position in BAD_PROMPTS.values():
+        line = by_id[f'item-{position}']
         code = (line['response'] or {}).get('status_code')
         assert code == 400 or line['error']['code'] == 'failed', line
 
 
 @then('all other items have their right answers')
 def check_other_items(context: Context) -> None:
-    bad = {f'item-{place}' for place in BAD_PROMPTS.values()}
+    bad = {f'item-{position}' for position in BAD_PROMPTS.values()}
     others = [
         line for line in context.bench.results if line['custom_id'] not in bad
     ]
@@ -399,11 +401,11 @@
     assert 1 <= starts <= count, starts
 
 
-@then('it left with nothing in hand within {seconds:d} s')
-def check_left(context: Context, seconds: int) -> None:
+@then('it has no work left when it stops, within {seconds:d} s')
+def check_stopped(context: Context, seconds: int) -> None:
     notes = context.bench.notes
-    assert notes['left'] == 0, notes
-    assert notes['leaving_seconds'] < seconds, notes
+    assert notes['remaining_work'] == 0, notes
+    assert notes['stop_seconds'] < seconds, notes
 
 
 @then('no credit was paid twice')
@@ -420,11 +422,11 @@
     return None
 
 
-def _is_taken(bench: Bench, chunk: Any) -> bool:
-    held = bench.site.find_entry().app.board.jobs.get(chunk.job.id)
-    if held is None:
+def _is_taken_over(bench: Bench, chunk: Any) -> bool:
+    job = bench.site.find_entry().app.board.jobs.get(chunk.job.id)
+    if job is None:
         return True
-    claim = held.claims.get(chunk.index)
+    claim = job.claims.get(chunk.index)
     return claim is None or claim.claim.fence > chunk.claim.fence
 
 
@@ -433,10 +435,12 @@
         return False
     number = line['custom_id'].removeprefix('item-')
     text = line['response']['body']['choices'][0]['message']['content']
-    return bool(text == make_answer('netlist-llm', f'corner {number}', LENGTH))
+    return bool(
+        text == make_answer('netlist-llm', f'corner {number}', ANSWER_TOKENS)
+    )
 
 
-def _count_made(bench: Bench) -> int:
+def _count_tokens(bench: Bench) -> int:
     return sum(
         replica.engine.batcher.work.tokens
         for replica in bench.all_replicas()
@@ -444,7 +448,7 @@
     )
 
 
-def _count_started(bench: Bench) -> int:
+def _count_starts(bench: Bench) -> int:
     return sum(
         replica.engine.prompt_starts.total()
         for replica in bench.all_replicas()
@@ -452,9 +456,7 @@
     )
 
 
-@when(
-    'the data folder of entry {number:d} is emptied and comes back as another'
-)
+@when('entry {number:d} restarts with an empty data folder')
 def empty_folder(context: Context, number: int) -> None:
     site = context.bench.site
     name = f'entry-{number}'
@@ -463,10 +465,10 @@
     site.add_entry(name)
 
 
-@then('each record names {count:d} folders that are there')
+@then('each record names {count:d} existing folders')
 def check_copies(context: Context, count: int) -> None:
     site = context.bench.site
-    wait_for(lambda: _are_mended(site, count), 20)
+    wait_for(lambda: _have_all_copies(site, count), 20)
 
 
 @when('the entries {first:d} and {second:d} are lost')
@@ -476,14 +478,14 @@
 
 
 @then('the results can still be read')
-def read_again(context: Context) -> None:
+def reread_results(context: Context) -> None:
     bench = context.bench
     bench.client.addresses = bench.site.list_addresses()
     bench.results = bench.client.read_results(bench.batch)
 
 
-def _are_mended(site: Any, count: int) -> bool:
-    there = {
+def _have_all_copies(site: Any, count: int) -> bool:
+    present = {
         entry.app.parts.folder.incarnation for entry in site.entries.values()
     }
     copies = []
@@ -497,12 +499,12 @@
                 msgspec.json.decode(cell.value, type=FileRecord).copies
             )
     return bool(copies) and all(
-        len(set(each) & there) == count for each in copies
+        len(set(each) & present) == count for each in copies
     )
 
 
-@when('the job is written once more as it was accepted')
-def write_again(context: Context) -> None:
+@when('the job record is written again as it was accepted')
+def rewrite_job(context: Context) -> None:
     bench = context.bench
     site = bench.site
     job = build_job(
@@ -514,15 +516,15 @@
         service='netlist-llm',
         idempotent=False,
     )
-    context.wrote = site.find_entry().app.parts.platform.swap(
+    context.write_result = site.find_entry().app.parts.platform.swap(
         name_job(job.customer, job.id),
         msgspec.json.encode(job),
         0,
     )
 
 
-@when('all entries read the jobs anew')
-def read_anew(context: Context) -> None:
+@when('all entries reload the jobs')
+def reload_jobs(context: Context) -> None:
     faults = context.bench.site.platform.faults
     faults.down = True
     gevent.sleep(0.5)
@@ -532,7 +534,7 @@
 
 @then('that write is refused')
 def check_write_refused(context: Context) -> None:
-    assert context.wrote == Err(Failure.conflict), context.wrote
+    assert context.write_result == Err(Failure.conflict), context.write_result
 
 
 @when('the key-value service takes {delay:d} ms for each call')
@@ -540,8 +542,8 @@
     context.bench.site.platform.faults.delay = delay / 1000
 
 
-@when('the key-value service is down from now on')
-def down_from_now(context: Context) -> None:
+@when('the key-value service goes down')
+def stop_platform_now(context: Context) -> None:
     context.bench.site.platform.faults.down = True
 
 
@@ -566,7 +568,7 @@
         assert page['request_counts']['completed'] == context.bench.items
 
 
-@then('another customer cannot see them')
+@then('another customer cannot read them')
 def check_isolation(context: Context) -> None:
     bench = context.bench
     other = Client(
@@ -582,22 +584,22 @@
         assert other.call('GET', path).status in {404, 503}, path
 
 
-@when('the next run of one local process ends in a fault of its own')
-def break_runs(context: Context) -> None:
+@when('the next run of one local process raises an internal error')
+def fail_next_run(context: Context) -> None:
     bench = context.bench
     name = wait_for(lambda: _find_busy_owner(bench))
     worker = bench.site.replicas[name].app.worker
     advance = worker.engine.advance
-    left = [1]
+    failures_left = [1]
 
-    def advance_or_break(run: Any) -> Any:
-        if left[0]:
-            left[0] -= 1
+    def advance_or_fail(run: Any) -> Any:
+        if failures_left[0]:
+            failures_left[0] -= 1
             raise ZeroDivisionError
         return advance(run)
 
-    worker.engine = _Breaking(worker.engine, advance_or_break)
-    wait_for(lambda: not left[0])
+    worker.engine = _FailingEngineClient(worker.engine, advance_or_fail)
+    wait_for(lambda: not failures_left[0])
 
 
 @when('entry {number:d} is frozen for {seconds:d} s')
@@ -615,8 +617,8 @@
     entry.faults.thaw()
 
 
-class _Breaking:
-    """An engine's client with another way to run."""
+class _FailingEngineClient:
+    """Wraps an engine client and replaces its ``advance``."""
 
     def __init__(self, engine: Any, advance: Any) -> None:
         self._engine = engine
@@ -626,18 +628,18 @@
         return getattr(self._engine, name)
 
 
-@when('a claim is seen whose job has not been seen yet')
+@when('a claim is stored before its job')
 def write_early_claim(context: Context) -> None:
     platform = context.bench.site.find_entry().app.parts.platform
-    context.early = name_chunk('batch_early', 0)
+    context.early_claim = name_chunk('batch_early', 0)
     platform.swap(
-        context.early,
+        context.early_claim,
         msgspec.json.encode(build_claim()),
         0,
     ).unwrap()
 
 
-@then('the claim is still there after {seconds:d} s')
+@then('the claim still exists after {seconds:d} s')
 def check_claim(context: Context, seconds: int) -> None:
     gevent.sleep(seconds)
-    assert context.early in context.bench.site.platform.cells
+    assert context.early_claim in context.bench.site.platform.cells
--- a/tests/features/steps/client_steps.py
+++ b/tests/features/steps/client_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the official client against the demo."""
+"""Steps for the official client against the demo."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 MODEL = 'netlist-llm'
 CHAT = '/v1/chat/completions'
-LONGEST_SECONDS = 60
-END_SECONDS = 15
+BATCH_TIMEOUT_SECONDS = 60
+EXIT_TIMEOUT_SECONDS = 15
 
 
-@given('the demo held as a process of its own')
-def hold_demo(context: Context) -> None:
+@given('the demo serving in a separate process')
+def start_demo(context: Context) -> None:
     process = subprocess.Popen(
         [sys.executable, '-m', 'wigeonpier.cli.main', 'demo', '--hold'],
         stdout=subprocess.PIPE,
@@ -34,8 +34,8 @@
     )
     context.process = process
     context.bench.stack.callback(process.kill)
-    word, address, key = process.stdout.readline().split()
-    assert word == 'ready'
+    status, address, key = process.stdout.readline().split()
+    assert status == 'ready'
     context.client = openai.OpenAI(
         base_url=f'{address}/v1',
         api_key=key.removeprefix('key='),
@@ -56,7 +56,7 @@
     )
 
 
-@then('the chat is whole')
+@then('the chat is complete')
 def check_chat(context: Context) -> None:
     assert context.chat == make_answer(MODEL, 'what is R1?', 12)
 
@@ -72,8 +72,8 @@
         endpoint=CHAT,
         completion_window='24h',
     )
-    give_up = time.monotonic() + LONGEST_SECONDS
-    while batch.status != 'completed' and time.monotonic() < give_up:
+    deadline = time.monotonic() + BATCH_TIMEOUT_SECONDS
+    while batch.status != 'completed' and time.monotonic() < deadline:
         time.sleep(0.1)
         batch = client.batches.retrieve(batch.id)
     assert batch.status == 'completed', batch
@@ -82,7 +82,7 @@
     context.prompts = prompts
 
 
-@then('each item comes back once')
+@then('each item is returned once')
 def check_items(context: Context) -> None:
     counts = Counter(line['custom_id'] for line in context.lines)
     assert len(context.lines) == len(context.prompts)
@@ -94,7 +94,7 @@
         assert choice['message']['content'] == expected
 
 
-@then('the process ends cleanly when it is interrupted')
-def check_end(context: Context) -> None:
+@then('the process exits with status 0 when it is interrupted')
+def check_exit(context: Context) -> None:
     context.process.send_signal(signal.SIGINT)
-    assert context.process.wait(END_SECONDS) == 0
+    assert context.process.wait(EXIT_TIMEOUT_SECONDS) == 0
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the configuration."""
+"""Steps for configuration changes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 @when(
     'a deadline of {seconds:d} s is applied and the key-value service goes down'
 )
-def apply_and_stop(context: Context, seconds: int) -> None:
+def apply_and_stop_platform(context: Context, seconds: int) -> None:
     apply_deadline(context, seconds)
     context.bench.site.platform.faults.down = True
 
@@ -44,11 +44,18 @@
 def apply_at_once(context: Context) -> None:
     bench = context.bench
     edited = bench.site.find_entry().app.parts.holder.version
-    sent = [
-        gevent.spawn(_apply, bench, edited, place, seconds, f'operator-{place}')
-        for place, seconds in enumerate((71, 72))
+    requests = [
+        gevent.spawn(
+            _apply,
+            bench,
+            edited,
+            entry_index,
+            seconds,
+            f'operator-{entry_index}',
+        )
+        for entry_index, seconds in enumerate((71, 72))
     ]
-    context.replies = [greenlet.get() for greenlet in sent]
+    context.replies = [greenlet.get() for greenlet in requests]
     bench.notes['applied'] = time.monotonic()
 
 
@@ -70,8 +77,8 @@
     bench = context.bench
     edited = bench.site.find_entry().app.parts.holder.version
     context.replies = [
-        _apply(bench, edited, place, 80, 'operator', 'the-operation')
-        for place in (0, 1)
+        _apply(bench, edited, entry_index, 80, 'operator', 'the-operation')
+        for entry_index in (0, 1)
     ]
 
 
@@ -122,27 +129,31 @@
 @then('it is in force in every process within {seconds:d} s')
 def check_in_force(context: Context, seconds: int) -> None:
     bench = context.bench
-    left = bench.notes['applied'] + seconds - time.monotonic()
+    remaining = bench.notes['applied'] + seconds - time.monotonic()
     wait_for(
         lambda: _all_deadlines(bench) == {bench.notes['deadline']},
-        left,
+        remaining,
     )
 
 
 @then('the accepted change is in force in every process within {seconds:d} s')
-def check_winner(context: Context, seconds: int) -> None:
+def check_accepted_in_force(context: Context, seconds: int) -> None:
     check_in_force(context, seconds)
 
 
-@then('one change is accepted and the other operator is told who was faster')
-def check_race(context: Context) -> None:
-    places = [reply.is_good for reply in context.replies]
-    assert sorted(places) == [False, True], context.replies
-    winner = places.index(True)
-    context.bench.notes['deadline'] = (71, 72)[winner]
-    error = msgspec.json.decode(context.replies[1 - winner].body)['error']
+@then(
+    'one change is accepted and the other is refused naming the winning operator'
+)
+def check_one_accepted(context: Context) -> None:
+    outcomes = [reply.is_good for reply in context.replies]
+    assert sorted(outcomes) == [False, True], context.replies
+    accepted_index = outcomes.index(True)
+    context.bench.notes['deadline'] = (71, 72)[accepted_index]
+    error = msgspec.json.decode(context.replies[1 - accepted_index].body)[
+        'error'
+    ]
     assert error['type'] == 'conflict', error
-    assert f'operator-{winner}' in error['message'], error
+    assert f'operator-{accepted_index}' in error['message'], error
     assert error['ran'] == 'no', error
 
 
@@ -153,8 +164,8 @@
     count = len(context.accepted)
     assert context.accepted == list(range(first, first + count))
     assert _all_deadlines(bench) == {bench.notes['deadline']}
-    desk = bench.site.find_entry().app.configuration
-    versions = [bundle.version for bundle in desk.list_history()]
+    manager = bench.site.find_entry().app.configuration
+    versions = [bundle.version for bundle in manager.list_history()]
     assert versions == list(range(1, first + count)), versions
 
 
@@ -177,7 +188,7 @@
     assert _all_versions(context.bench) == {context.bench.notes['version']}
 
 
-@then('its questions are refused within {seconds:d} s')
+@then('its requests are refused within {seconds:d} s')
 def check_revoked(context: Context, seconds: int) -> None:
     bench = context.bench
     wait_for(
@@ -189,25 +200,25 @@
 def _apply(
     bench: Bench,
     edited: int,
-    place: int,
+    entry_index: int,
     seconds: int,
     operator: str,
     operation: str = '',
 ) -> Reply:
     base = bench.site.read_base()
     base['services'][SERVICE]['deadline_seconds'] = seconds
-    entry = list(bench.site.entries.values())[place]
-    named = operation or secrets.token_hex(4)
-    return _post(entry, Application(edited, named, operator, base))
+    entry = list(bench.site.entries.values())[entry_index]
+    operation_id = operation or secrets.token_hex(4)
+    return _post(entry, Application(edited, operation_id, operator, base))
 
 
-def _post(entry: Any, asked: Application) -> Reply:
-    caller = HttpCaller({'wigeonpier-peer-key': entry.settings.peer_keys[0]})
-    return caller.call(
+def _post(entry: Any, change: Application) -> Reply:
+    client = HttpCaller({'wigeonpier-peer-key': entry.settings.peer_keys[0]})
+    return client.call(
         entry.app.admin.address,
         'POST',
         '/admin/v1/configuration',
-        msgspec.json.encode(asked),
+        msgspec.json.encode(change),
         patience=20,
     ).unwrap()
 
--- a/tests/features/steps/crashing_steps.py
+++ b/tests/features/steps/crashing_steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests that end what runs them."""
+"""Steps for requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     from behave.runner import Context
 
 FINAL_STATUS = 400
-DEADLY_PROMPT = f'{CRASH_MARK} one'
-COME_BACK_SECONDS = 0.2
-ASK_SECONDS = 0.1
-LENGTH = 4
+CRASHING_PROMPT = f'{CRASH_MARK} one'
+RETRY_SECONDS = 0.2
+REQUEST_INTERVAL_SECONDS = 0.1
+ANSWER_TOKENS = 4
 
 
 @given('a hosted site of {entries:d} entries and {replicas:d} replicas')
@@ -37,7 +37,7 @@
     context.hosted = site
 
 
-@when('a caller repeats a request that ends replicas for {seconds:g} s')
+@when('a caller repeats a request that crashes replicas for {seconds:g} s')
 def repeat_request(context: Context, seconds: float) -> None:
     context.repeating = RepeatingCaller(context.hosted, DEADLY_BODY)
     context.others = OtherCallers(context.hosted)
@@ -47,69 +47,79 @@
     others.get()
 
 
-@then('at most {most:d} replicas have ended')
-def check_ends(context: Context, most: int) -> None:
-    ends = [end for one in context.hosted.replicas for end in one.ended_by]
-    assert 0 < len(ends) <= most, f'{len(ends)} replicas have ended'
+@then('at most {max_crashes:d} replicas have crashed')
+def check_crashed_replicas(context: Context, max_crashes: int) -> None:
+    crashes = [
+        crash
+        for replica in context.hosted.replicas
+        for crash in replica.ended_by
+    ]
+    assert 0 < len(crashes) <= max_crashes, (
+        f'{len(crashes)} replicas have crashed'
+    )
 
 
-@then('that caller is refused for good and not asked to come back')
+@then('that caller gets a final refusal and is not asked to retry')
 def check_refusal(context: Context) -> None:
     last = context.repeating.replies[-1]
     assert last.status == FINAL_STATUS, context.repeating.list_statuses()
     assert b'"ran":"no"' in last.body
 
 
-@then('each other caller got its whole answer')
+@then('each other caller got its complete answer')
 def check_others(context: Context) -> None:
     others = context.others
-    assert others.whole, 'nobody asked'
-    assert not others.failed, f'{others.failed} and {others.whole} whole'
+    assert others.whole, 'no other request succeeded'
+    assert not others.failed, f'{others.failed} and {others.whole} complete'
 
 
-@when('a caller repeats a prompt that ends engines for {seconds:g} s')
+@when('a caller repeats a prompt that crashes engines for {seconds:g} s')
 def repeat_prompt(context: Context, seconds: float) -> None:
     bench = context.bench
     wait_for(lambda: all(bench.ask('up?', 2).is_right for _ in range(6)))
-    give_up = time.monotonic() + seconds
-    context.asking = gevent.spawn(_ask_others, context, give_up)
+    deadline = time.monotonic() + seconds
+    context.other_requests = gevent.spawn(_send_others, context, deadline)
     context.statuses = []
-    while time.monotonic() < give_up - 1:
-        context.statuses.append(bench.ask(DEADLY_PROMPT, LENGTH).status)
-        gevent.sleep(COME_BACK_SECONDS)
+    while time.monotonic() < deadline - 1:
+        context.statuses.append(
+            bench.ask(CRASHING_PROMPT, ANSWER_TOKENS).status
+        )
+        gevent.sleep(RETRY_SECONDS)
 
 
-def _ask_others(context: Context, give_up: float) -> list[bool]:
-    asked = []
-    while time.monotonic() < give_up:
-        prompt = f'question {len(asked)}'
-        asked.append(gevent.spawn(_ask_twice, context, prompt))
-        gevent.sleep(ASK_SECONDS)
-    return [greenlet.get() for greenlet in asked]
+def _send_others(context: Context, deadline: float) -> list[bool]:
+    requests = []
+    while time.monotonic() < deadline:
+        prompt = f'request {len(requests)}'
+        requests.append(gevent.spawn(_send_with_retry, context, prompt))
+        gevent.sleep(REQUEST_INTERVAL_SECONDS)
+    return [greenlet.get() for greenlet in requests]
 
 
-def _ask_twice(context: Context, prompt: str) -> bool:
-    """Ask, and come back once."""
-    if context.bench.ask(prompt, LENGTH).is_right:
+def _send_with_retry(context: Context, prompt: str) -> bool:
+    """Send a prompt, and retry it once."""
+    if context.bench.ask(prompt, ANSWER_TOKENS).is_right:
         return True
-    gevent.sleep(COME_BACK_SECONDS)
-    return context.bench.ask(prompt, LENGTH).is_right
+    gevent.sleep(RETRY_SECONDS)
+    return context.bench.ask(prompt, ANSWER_TOKENS).is_right
 
 
-@then('at most {most:d} engines have ended')
-def check_engines(context: Context, most: int) -> None:
+@then('at most {max_crashes:d} engines have crashed')
+def check_crashed_engines(context: Context, max_crashes: int) -> None:
     replicas = context.bench.site.replicas.values()
-    ends = sum(one.engine.crashes for one in replicas if one.engine)
-    assert 0 < ends <= most, f'{ends} engines have ended'
+    crashes = sum(
+        replica.engine.crashes for replica in replicas if replica.engine
+    )
+    assert 0 < crashes <= max_crashes, f'{crashes} engines have crashed'
 
 
-@then('the prompt is refused for good and not asked to come back')
+@then('the prompt gets a final refusal and is not asked to retry')
 def check_prompt(context: Context) -> None:
     assert context.statuses[-1] == FINAL_STATUS, context.statuses
 
 
-@then('each other question got its own whole answer')
-def check_questions(context: Context) -> None:
-    answers = context.asking.get()
+@then('each other request got its own complete answer')
+def check_other_requests(context: Context) -> None:
+    answers = context.other_requests.get()
     assert answers
     assert all(answers), f'{answers.count(False)} of {len(answers)}'
--- a/tests/features/steps/leaving_steps.py
+++ b/tests/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps of leaving."""
+"""Steps for graceful stops and drains."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 if TYPE_CHECKING:
     from behave.runner import Context
 
-LENGTH = 150
-END_SECONDS = 15
+ANSWER_TOKENS = 150
+EXIT_TIMEOUT_SECONDS = 15
 REPLICA = 'netlist-llm-1'
 
 
@@ -55,15 +55,15 @@
 
 
 @when(
-    'callers go on asking an entry that gets SIGTERM until it is not ready',
+    'callers keep sending to an entry that gets SIGTERM until it is not ready',
 )
-def ask_leaving(context: Context) -> None:
+def send_until_not_ready(context: Context) -> None:
     entry = context.fleet.entries['entry-1']
     client = Client([entry.address], KORO.key, KORO.service)
     context.answers = [client.ask(Arrival(0, 'before', 2))]
     entry.process.send_signal(signal.SIGTERM)
-    caller = HttpCaller()
-    while caller.call(entry.address, 'GET', '/readyz').unwrap().is_good:
+    http_client = HttpCaller()
+    while http_client.call(entry.address, 'GET', '/readyz').unwrap().is_good:
         context.answers.append(client.ask(Arrival(0, 'meanwhile', 2)))
     context.answers.append(client.ask(Arrival(0, 'just after', 2)))
     context.stopped = entry
@@ -72,7 +72,7 @@
 @when('a stream runs and the local process gets SIGTERM twice')
 def stop_twice(context: Context) -> None:
     local = context.fleet.replicas['replica-1']
-    gevent.spawn(context.bench.ask, 'a long question', LENGTH * 10)
+    gevent.spawn(context.bench.ask, 'a long request', ANSWER_TOKENS * 10)
     gevent.sleep(0.3)
     local.process.send_signal(signal.SIGTERM)
     gevent.sleep(0.3)
@@ -91,53 +91,53 @@
     _call_drain(context, 'POST')
 
 
-@when('the operator takes the drain back')
+@when('the operator undoes the drain')
 def undrain_replica(context: Context) -> None:
     _call_drain(context, 'DELETE')
 
 
-@then('that process ended with status {status:d}')
+@then('that process exited with status {status:d}')
 def check_status(context: Context, status: int) -> None:
     process = context.stopped.process
-    wait_for(lambda: process.poll() is not None, END_SECONDS)
+    wait_for(lambda: process.poll() is not None, EXIT_TIMEOUT_SECONDS)
     assert process.returncode == status, process.returncode
 
 
-@then('questions asked after that went elsewhere')
-def check_elsewhere(context: Context) -> None:
+@then('requests sent after that are served by other processes')
+def check_later_requests(context: Context) -> None:
     answers = [context.bench.ask(f'after {n}', 2) for n in range(10)]
     assert all(answer.is_right for answer in answers), answers
 
 
-@then('it gets no question after {seconds:d} s')
-def check_no_questions(context: Context, seconds: int) -> None:
+@then('it gets no request after {seconds:d} s')
+def check_no_requests(context: Context, seconds: int) -> None:
     gevent.sleep(seconds)
-    before = _count_asked(context)
+    before = _count_starts(context)
     assert all(context.bench.ask(f'q {n}', 2).is_right for n in range(20))
-    assert _count_asked(context) == before
+    assert _count_starts(context) == before
 
 
-@then('it gets questions again')
-def check_questions(context: Context) -> None:
-    before = _count_asked(context)
+@then('it gets requests again')
+def check_requests(context: Context) -> None:
+    before = _count_starts(context)
 
-    def is_asked() -> bool:
+    def gets_request() -> bool:
         assert context.bench.ask('again', 2).is_right
-        return _count_asked(context) > before
+        return _count_starts(context) > before
 
-    wait_for(is_asked)
+    wait_for(gets_request)
 
 
 def _stop_under_load(context: Context, count: int, daemon: Any) -> None:
-    arrivals = [Arrival(0, f'long {n}', LENGTH) for n in range(count)]
-    asked = gevent.spawn(context.bench.client.ask_all, arrivals)
+    arrivals = [Arrival(0, f'long {n}', ANSWER_TOKENS) for n in range(count)]
+    pending = gevent.spawn(context.bench.client.ask_all, arrivals)
     gevent.sleep(0.3)
     daemon.process.send_signal(signal.SIGTERM)
-    context.answers = asked.get()
+    context.answers = pending.get()
     context.stopped = daemon
 
 
-def _count_asked(context: Context) -> int:
+def _count_starts(context: Context) -> int:
     engine = context.bench.site.replicas[REPLICA].engine
     return engine.prompt_starts.total()
 
--- a/tests/features/steps/online_steps.py
+++ b/tests/features/steps/online_steps.py
@@ -1,4 +1,4 @@
-"""Steps of online requests."""
+"""Steps for online requests."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     context.bench.start(SLOW)
 
 
-@given('a site where "{customer}" may ask {rate:d} times a second')
+@given('a site where "{customer}" may send {rate:d} requests a second')
 def start_limited_site(context: Context, customer: str, rate: int) -> None:
     context.bench.start()
     site = context.bench.site
@@ -56,27 +56,27 @@
     context.bench.site.platform.faults.down = True
 
 
-@when('{count:d} questions are asked at once')
-def ask_questions(context: Context, count: int) -> None:
-    draw = random.Random(3)
+@when('{count:d} requests are sent at once')
+def send_requests(context: Context, count: int) -> None:
+    rng = random.Random(3)
     arrivals = [
-        Arrival(0, f'question {number}', draw.randint(2, 20))
+        Arrival(0, f'request {number}', rng.randint(2, 20))
         for number in range(count)
     ]
     context.answers = context.bench.client.ask_all(arrivals)
 
 
-@when('an upstream VM is lost and {count:d} questions are asked')
+@when('an upstream VM is lost and {count:d} requests are sent')
 def lose_upstream(context: Context, count: int) -> None:
     site = context.bench.site
     context.bench.crash_replica(f'{site.plan.service}-1')
-    ask_questions(context, count)
+    send_requests(context, count)
 
 
-@when('a long question is asked and its upstream dies midway')
+@when('a long request is sent and its upstream crashes midway')
 def lose_stream(context: Context) -> None:
     bench = context.bench
-    asked = gevent.spawn(bench.ask, 'a long question', 40)
+    pending = gevent.spawn(bench.ask, 'a long request', 40)
     replica = wait_for(
         lambda: next(
             (
@@ -90,8 +90,8 @@
         ),
     )
     bench.crash_replica(replica.settings.name)
-    context.answers = [asked.get()]
-    assert bench.count_starts('a long question') == 2
+    context.answers = [pending.get()]
+    assert bench.count_starts('a long request') == 2
 
 
 @when('the request "{case}" is sent')
@@ -117,23 +117,23 @@
     catalogue = context.bench.site.catalogue
     pay = catalogue._pay_credit
 
-    def pay_and_die(request: object) -> None:
+    def pay_and_disconnect(request: object) -> None:
         pay(request)
         raise ConnectionResetError(104, 'lost')
 
-    catalogue._pay_credit = pay_and_die
+    catalogue._pay_credit = pay_and_disconnect
     context.reply = _pay(context, track)
 
 
-@then('each question got its own whole answer')
-@then('that question got its own whole answer')
+@then('each request got its own complete answer')
+@then('that request got its own complete answer')
 def check_answers(context: Context) -> None:
     wrong = [answer for answer in context.answers if not answer.is_right]
     assert not wrong, f'{len(wrong)} of {len(context.answers)}: {wrong[:2]}'
 
 
-@then('a question still gets its whole answer')
-def check_still_well(context: Context) -> None:
+@then('a request still gets its complete answer')
+def check_request_succeeds(context: Context) -> None:
     answer = context.bench.ask()
     assert answer.is_right, answer
 
@@ -148,7 +148,7 @@
     assert page['error']['message'], page
 
 
-@then('the caller is told that it is not known whether it ran')
+@then('the answer says that it is not known whether it ran')
 def check_unknown(context: Context) -> None:
     check_refusal(context, 502, 'upstream_lost', 'unknown')
 
@@ -164,7 +164,7 @@
     assert context.bench.site.catalogue.credits[track] == count
 
 
-@then('some were refused with kind "{kind}" and a time to come back')
+@then('some were refused with kind "{kind}" and a time to retry')
 def check_some_refused(context: Context, kind: str) -> None:
     refused = [answer for answer in context.answers if answer.status == 429]
     assert refused
@@ -172,7 +172,7 @@
 
 
 @then('no more than {count:d} were answered')
-def check_most_answered(context: Context, count: int) -> None:
+def check_max_answered(context: Context, count: int) -> None:
     answered = [answer for answer in context.answers if answer.status == 200]
     assert 0 < len(answered) <= count, len(answered)
 
@@ -192,10 +192,10 @@
             'traceparent': f'00-{"a" * 32}-{"b" * 16}-01',
         },
     )
-    made = msgspec.json.decode(reply.unwrap().body)
-    assert made['id'] == 'cmpl-request-1', made
+    completion = msgspec.json.decode(reply.unwrap().body)
+    assert completion['id'] == 'cmpl-request-1', completion
     expected = make_answer(site.plan.service, 'trace me', 2)
-    assert made['choices'][0]['message']['content'] == expected
+    assert completion['choices'][0]['message']['content'] == expected
     spans = wait_for(lambda: _read_spans(site, 'a' * 32, 2))
     assert spans['entry'].parent_id == 'b' * 16
     assert spans['local'].parent_id == spans['entry'].span_id
@@ -222,7 +222,7 @@
 
 
 @then('every daemon is healthy and ready')
-def check_pages(context: Context) -> None:
+def check_health_pages(context: Context) -> None:
     site = context.bench.site
     for process in (*site.entries.values(), *site.replicas.values()):
         for path in ('/healthz', '/readyz'):
@@ -257,8 +257,10 @@
 
 
 def _chat(context: Context, body: bytes, **headers: str) -> Reply | None:
-    sent = {name.replace('_', '-'): text for name, text in headers.items()}
-    return context.bench.client.call('POST', '/v1/chat/completions', body, sent)
+    extra = {name.replace('_', '-'): text for name, text in headers.items()}
+    return context.bench.client.call(
+        'POST', '/v1/chat/completions', body, extra
+    )
 
 
 def _upload(context: Context, lines: bytes, purpose: str = 'batch') -> Reply:
@@ -311,7 +313,7 @@
     )
 
 
-_GOOD = msgspec.json.encode(make_chat('netlist-llm', 'hello', 2))
+_VALID_BODY = msgspec.json.encode(make_chat('netlist-llm', 'hello', 2))
 _BAD_REQUESTS = {
     'broken JSON': lambda context: _chat(context, b'{"model": '),
     'no model': lambda context: _chat(context, b'{"messages": []}'),
@@ -321,14 +323,14 @@
     ),
     'wrong key': lambda context: _chat(
         context,
-        _GOOD,
+        _VALID_BODY,
         authorization='Bearer no-such-key',
     ),
-    'no key': lambda context: _chat(context, _GOOD, authorization=''),
+    'no key': lambda context: _chat(context, _VALID_BODY, authorization=''),
     '20 MB body': lambda context: _chat(context, b' ' * 20_000_000),
-    'odd idempotency': lambda context: _chat(
+    'bad idempotency': lambda context: _chat(
         context,
-        _GOOD,
+        _VALID_BODY,
         wigeonpier_idempotent='perhaps',
     ),
     'unknown path': lambda context: context.bench.client.call('GET', '/v1/no'),
@@ -376,8 +378,10 @@
     'a credit for "{track}" is paid {count:d} times at once with key "{key}" on all entries'
 )
 def pay_at_once(context: Context, track: str, count: int, key: str) -> None:
-    sent = [gevent.spawn(_pay_keyed, context, track, key) for _ in range(count)]
-    context.replies = [greenlet.get() for greenlet in sent]
+    requests = [
+        gevent.spawn(_pay_keyed, context, track, key) for _ in range(count)
+    ]
+    context.replies = [greenlet.get() for greenlet in requests]
 
 
 @when('a credit for "{track}" is paid again with key "{key}"')
@@ -385,13 +389,13 @@
     context.reply = _pay_keyed(context, track, key)
 
 
-@when('no upstream of the plain service takes work')
+@when('no upstream of the plain service accepts work')
 def drain_plain(context: Context) -> None:
     for entry in context.bench.site.entries.values():
         entry.app.directory.mark_leaving('billing-1')
 
 
-@when('the plain service takes work again')
+@when('the plain service accepts work again')
 def undrain_plain(context: Context) -> None:
     for entry in context.bench.site.entries.values():
         entry.app.directory.unmark_leaving('billing-1')
@@ -399,9 +403,9 @@
 
 @then('each answer is the same, or says that it is not known whether it ran')
 def check_same_or_unknown(context: Context) -> None:
-    good = [reply for reply in context.replies if reply.is_good]
-    context.first = good[0]
-    assert {reply.body for reply in good} == {good[0].body}
+    succeeded = [reply for reply in context.replies if reply.is_good]
+    context.first_reply = succeeded[0]
+    assert {reply.body for reply in succeeded} == {succeeded[0].body}
     for reply in context.replies:
         if not reply.is_good:
             error = msgspec.json.decode(reply.body)['error']
@@ -411,7 +415,7 @@
 
 @then('the answer is the first one')
 def check_first(context: Context) -> None:
-    assert context.reply == context.first, context.reply
+    assert context.reply == context.first_reply, context.reply
 
 
 @then('the service was paid {count:d} times for "{track}"')
--- a/tests/features/steps/operators_steps.py
+++ b/tests/features/steps/operators_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the command line."""
+"""Steps for the command line."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
     koro = resources.files('wigeonpier') / 'examples' / 'koro'
     broken = bench.site.folder / 'broken.jsonc'
     broken.write_text(BROKEN)
-    words = {
+    replacements = {
         'BASE': str(koro / 'base.jsonc'),
         'NADI': str(koro / 'overlays' / 'nadi-1.jsonc'),
         'JOB': bench.job,
         'BROKEN': str(broken),
     }
-    arguments = [words.get(word, word) for word in command.split()]
+    arguments = [replacements.get(word, word) for word in command.split()]
     if arguments[:2] != ['config', 'check']:
-        place = 2 if arguments[0] == 'config' else 1
-        arguments[place:place] = [
+        position = 2 if arguments[0] == 'config' else 1
+        arguments[position:position] = [
             '--admin',
             entry.app.admin.address,
             '--key',
