--- a/tests/features/online.feature
+++ b/tests/features/online.feature
@@ -65,7 +65,7 @@
     When 20 requests are sent at once
     Then each request got its own complete answer
 
-  Scenario: A customer over its rate is refused and told when to retry
+  Scenario: A customer over its rate is refused with a time to retry
     Given a site where "suva-design-shop" may send 5 requests a second
     When 40 requests are sent at once
     Then some were refused with kind "limit_reached" and a time to retry
