--- a/src/wigeonpier/bench/answers.py
+++ b/src/wigeonpier/bench/answers.py
@@ -38,8 +38,8 @@
 
 @cache
 def _hash_word(number: int) -> str:
-    draw = random.Random(number)
-    return ''.join(draw.choices(SYLLABLES, k=2))
+    rng = random.Random(number)
+    return ''.join(rng.choices(SYLLABLES, k=2))
 
 
 def _pick_word(seed: int, index: int) -> str:
--- a/src/wigeonpier/bench/engine.py
+++ b/src/wigeonpier/bench/engine.py
@@ -47,7 +47,7 @@
 
     from wigeonpier.web.messages import Request
 
-MOST_BODY = 16_000_000
+MAX_BODY_BYTES = 16_000_000
 COUNTS_PATH = '/bench/counts'
 CRASH_MARK = '[[crash]]'
 REJECT_MARK = '[[reject]]'
@@ -129,12 +129,12 @@
         self.crashes += 1
         self.batcher.crash()
         if self._server is None:
-            gevent.spawn_later(seconds, self._come_back)
+            gevent.spawn_later(seconds, self._restart)
             return
         host, port = split_address(self.address)
         # Its address refuses connections, as where no process listens.
         self._server.stop()
-        gevent.spawn_later(seconds, self._come_back, host, port)
+        gevent.spawn_later(seconds, self._restart, host, port)
 
     def handle(self, request: Request) -> Response:
         """Answer one call.
@@ -142,7 +142,7 @@
         :param request: the call.
         :returns: the answer.
         """
-        request.body_limit = MOST_BODY
+        request.body_limit = MAX_BODY_BYTES
         if self.is_down:
             raise ConnectionResetError(ECONNRESET, 'the process is gone')
         routes = [
@@ -160,7 +160,7 @@
         ]
         return dispatch_to(routes)(request)
 
-    def _come_back(self, host: str = '', port: int = 0) -> None:
+    def _restart(self, host: str = '', port: int = 0) -> None:
         self.is_down = False
         if host:
             self.serve(host, port)
@@ -168,7 +168,7 @@
     def _complete(self, request: Request, chat: str | None) -> Response:
         body = msgspec.json.decode(request.read_body())
         prompt = read_prompt(body)
-        self._misbehave(prompt)
+        self._apply_marks(prompt)
         sequence = Sequence(
             identity=request.headers.get(headers.REQUEST_ID) or make_identity(),
             model=body['model'],
@@ -204,9 +204,9 @@
         shape: str,
         wants_usage: bool,
     ) -> Iterator[bytes]:
-        with ExitStack() as held:
+        with ExitStack() as stack:
             # A caller that goes away leaves its stream behind.
-            held.callback(self._drop_unfinished, sequence)
+            stack.callback(self._drop_unfinished, sequence)
             for token in sequence.iterate_tokens():
                 yield render_event(make_chunk(sequence, shape, token))
             if sequence.is_cancelled:
@@ -230,16 +230,16 @@
         kept = self.batcher.kept.get(identity)
         if kept is None:
             raise Refusal(ErrorKind.not_found, 'the stream is not kept')
-        asked = msgspec.json.decode(request.read_body())
+        message = msgspec.json.decode(request.read_body())
         sequence = Sequence(
             identity,
             kept.model,
             kept.prompt,
             kept.length,
-            int(asked['delivered']),
+            int(message['delivered']),
         )
         self.batcher.add(sequence)
-        return self._stream(sequence, asked.get('object', CHAT), True)
+        return self._stream(sequence, message.get('object', CHAT), True)
 
     def _export_kv(self, _request: Request, identity: str) -> Response:
         kept = self.batcher.kept.get(identity)
@@ -299,7 +299,7 @@
         ]
         return answer_json({'object': 'list', 'data': data})
 
-    def _misbehave(self, prompt: str) -> None:
+    def _apply_marks(self, prompt: str) -> None:
         if REJECT_MARK in prompt:
             raise Refusal(ErrorKind.invalid_request, 'the prompt is refused')
         if FAIL_MARK in prompt:
--- a/src/wigeonpier/bench/faults.py
+++ b/src/wigeonpier/bench/faults.py
@@ -60,7 +60,7 @@
         """Wait while the process is frozen."""
         self._running.wait()
 
-    def is_cut(self, address: str) -> bool:
+    def is_unreachable(self, address: str) -> bool:
         """Tell whether an address cannot be reached.
 
         :param address: ``host:port``.
@@ -83,10 +83,10 @@
         **options: Any,
     ) -> Result[StreamReply, CallFailure]:
         self._faults.wait()
-        if self._faults.is_cut(address):
+        if self._faults.is_unreachable(address):
             return Err(CallFailure.not_sent)
         opened = super().open(address, *details, **options)
         self._faults.wait()
-        if self._faults.is_cut(address):
+        if self._faults.is_unreachable(address):
             return Err(CallFailure.lost)
         return opened
--- a/src/wigeonpier/bench/faultsoak.py
+++ b/src/wigeonpier/bench/faultsoak.py
@@ -19,8 +19,8 @@
 from wigeonpier.bench.soakcallers import SoakCallers
 from wigeonpier.bench.soakcrashes import (
     SoakCrashes,
-    check_deadly,
-    count_ends,
+    check_crashing_runs,
+    count_crashes,
 )
 from wigeonpier.bench.soakfaults import SoakFaults
 from wigeonpier.bench.soakkeys import SoakKeys
@@ -109,47 +109,47 @@
                 callers,
                 random.Random(self.seed + 2),
             )
-            crashing = gevent.spawn(self._crash, crashes)
-            turning = gevent.spawn(self._turn_keys, keys)
-            faults = self._harm(random.Random(self.seed))
-            crashing.get()
-            turning.get()
+            crash_loop = gevent.spawn(self._run_crashes, crashes)
+            key_loop = gevent.spawn(self._rotate_keys, keys)
+            faults = self._inject_faults(random.Random(self.seed))
+            crash_loop.get()
+            key_loop.get()
             callers.finish(FINISH_SECONDS)
-            runs = self.site.list_deadly_runs()
-            broken = callers.find_broken(self.site.replicas)
+            runs = self.site.list_crashing_runs()
+            broken = callers.find_violations(self.site.replicas)
             if self.has_keys:
-                broken += keys.find_broken(self.site.list_runs())
+                broken += keys.find_violations(self.site.list_received())
         return FaultSoakReport(
             self.seed,
             len(self.site.processes),
             faults | crashes.counts | keys.counts,
             callers.count_outcomes(),
             callers.count_jobs(),
-            count_ends(runs),
-            broken + check_deadly(runs),
+            count_crashes(runs),
+            broken + check_crashing_runs(runs),
         )
 
-    def _crash(self, crashes: SoakCrashes) -> None:
+    def _run_crashes(self, crashes: SoakCrashes) -> None:
         if self.has_crashes:
             crashes.run(self.seconds)
 
-    def _turn_keys(self, keys: SoakKeys) -> None:
+    def _rotate_keys(self, keys: SoakKeys) -> None:
         if self.has_keys:
             keys.run(self.seconds)
 
-    def _harm(self, draw: random.Random) -> dict[str, int]:
-        kinds = SoakFaults(self.site, draw).list_faults()
-        harming: list[gevent.Greenlet[..., None]] = []
+    def _inject_faults(self, rng: random.Random) -> dict[str, int]:
+        kinds = SoakFaults(self.site, rng).list_faults()
+        injections: list[gevent.Greenlet[..., None]] = []
         counts: Counter[str] = Counter()
         end = time.monotonic() + self.seconds
         while time.monotonic() < end:
-            name, harm = draw.choice(kinds)
+            name, inject = rng.choice(kinds)
             counts[name] += 1
-            harming.append(gevent.spawn(harm))
-            gevent.sleep(draw.uniform(*GAP_SECONDS))
+            injections.append(gevent.spawn(inject))
+            gevent.sleep(rng.uniform(*GAP_SECONDS))
         self.site.heal()
-        gevent.joinall(harming, timeout=HEAL_SECONDS)
-        gevent.killall(harming)
+        gevent.joinall(injections, timeout=HEAL_SECONDS)
+        gevent.killall(injections)
         self.site.heal()
         self.site.start_missing()
         return dict(counts)
@@ -193,8 +193,8 @@
 
 
 def _await_ready(callers: SoakCallers) -> None:
-    give_up = time.monotonic() + READY_SECONDS
+    deadline = time.monotonic() + READY_SECONDS
     while not callers.is_ready():
-        if time.monotonic() > give_up:
+        if time.monotonic() > deadline:
             raise TimeoutError('the daemons never became ready')
         gevent.sleep(STEP_SECONDS)
--- a/src/wigeonpier/bench/fleet.py
+++ b/src/wigeonpier/bench/fleet.py
@@ -112,7 +112,7 @@
         self._stack.callback(server.stop)
         self._platform_address = server.address
         self._plan = plan
-        addresses = tuple(_find_address() for _ in range(entries))
+        addresses = tuple(_choose_address() for _ in range(entries))
         for number, address in enumerate(addresses):
             self._start_entry(number, address, addresses, number < disks)
         self._apply(base or read_example(plan.name))
@@ -186,12 +186,12 @@
         addresses: tuple[str, ...],
         has_disk: bool,
     ) -> None:
-        place = number + 1
-        name = f'entry-{place}'
-        admin = _find_address()
+        position = number + 1
+        name = f'entry-{position}'
+        admin = _choose_address()
         settings = EntrySettings(
             name=name,
-            data_centre=self._place(number),
+            data_centre=self._choose_data_centre(number),
             listen=address,
             platform=self._platform_address,
             peer_keys=(PEER_KEY,),
@@ -207,8 +207,8 @@
 
     def _start_engine(self, number: int) -> None:
         """Start an engine as a process, so that it has a core of its own."""
-        address = _find_address()
-        told = msgspec.json.encode(
+        address = _choose_address()
+        encoded = msgspec.json.encode(
             EngineSettings(address, self._plan.service, self.shape, number),
         )
         module = 'wigeonpier.bench.main'
@@ -218,18 +218,18 @@
                 '-m',
                 module,
                 'engine',
-                told.decode(),
+                encoded.decode(),
             ]
         )
         self.engines.append(Daemon(f'engine-{number}', address, process))
 
     def _start_local(self, number: int, entries: tuple[str, ...]) -> None:
-        place = number + 1
-        name = f'replica-{place}'
+        position = number + 1
+        name = f'replica-{position}'
         settings = LocalSettings(
             name=name,
-            data_centre=self._place(number),
-            listen=_find_address(),
+            data_centre=self._choose_data_centre(number),
+            listen=_choose_address(),
             platform=self._platform_address,
             peer_keys=(PEER_KEY,),
             entries=entries,
@@ -254,8 +254,8 @@
         return Daemon(settings.name, settings.listen, process)
 
     def _apply(self, base: dict[str, Any]) -> None:
-        asked = Application(0, 'first', 'bench', base)
-        raw = msgspec.json.encode(asked)
+        application = Application(0, 'first', 'bench', base)
+        raw = msgspec.json.encode(application)
         with gevent.Timeout(READY_SECONDS, TimeoutError('no entry')):
             while not self._call_admin(raw):
                 gevent.sleep(POLL_SECONDS)
@@ -271,21 +271,21 @@
 
     def _await_ready(self) -> None:
         with gevent.Timeout(READY_SECONDS, TimeoutError('not ready')):
-            while not self._are_all_ready():
+            while not self._is_ready():
                 gevent.sleep(POLL_SECONDS)
 
-    def _are_all_ready(self) -> bool:
-        waited = [
+    def _is_ready(self) -> bool:
+        endpoints = [
             *((engine, '/healthz') for engine in self.engines),
             *((daemon, '/readyz') for daemon in self.list_daemons()),
         ]
-        return all(self._is_good(*one) for one in waited)
+        return all(self._answers_well(*one) for one in endpoints)
 
-    def _place(self, number: int) -> str:
+    def _choose_data_centre(self, number: int) -> str:
         centres = self._plan.data_centres
         return centres[number % len(centres)]
 
-    def _is_good(self, daemon: Daemon, path: str) -> bool:
+    def _answers_well(self, daemon: Daemon, path: str) -> bool:
         called = self.caller.call(daemon.address, 'GET', path)
         return not isinstance(called, Err) and called.ok_value.is_good
 
@@ -299,7 +299,7 @@
             gevent.sleep(POLL_SECONDS)
 
 
-def _find_address() -> str:
+def _choose_address() -> str:
     with closing(socket.socket()) as probe:
         probe.bind(('127.0.0.1', 0))
         port = probe.getsockname()[1]
--- a/src/wigeonpier/bench/load.py
+++ b/src/wigeonpier/bench/load.py
@@ -24,7 +24,7 @@
 
 CHAT = '/v1/chat/completions'
 BOUNDARY = 'wigeonpier-bench-boundary'
-PATIENCE_SECONDS = 120.0
+TIMEOUT_SECONDS = 120.0
 POLL_SECONDS = 0.1
 FINAL = ('completed', 'cancelled')
 
@@ -76,14 +76,14 @@
         :returns: what became of it.
         """
         answer = Answer(arrival)
-        asked = time.monotonic()
+        sent_at = time.monotonic()
         opened = self.caller.open(
-            self._choose(),
+            self._choose_entry(),
             'POST',
             CHAT,
             self.make_body(arrival, is_stream=True),
             headers=self._make_headers(),
-            patience=PATIENCE_SECONDS,
+            patience=TIMEOUT_SECONDS,
         )
         if isinstance(opened, Err):
             answer.kind = opened.err_value.value
@@ -91,7 +91,7 @@
         reply = opened.ok_value
         answer.status = reply.status
         try:
-            text = _read_answer(reply, answer, asked)
+            text = _read_answer(reply, answer, sent_at)
         except (OSError, HTTPParseError, msgspec.DecodeError):
             answer.kind = 'broken'
             text = ''
@@ -156,7 +156,7 @@
         :param window: completion window.
         :returns: the batch.
         """
-        asked = {
+        sent_at = {
             'input_file_id': file_id,
             'endpoint': endpoint,
             'completion_window': window,
@@ -168,7 +168,7 @@
             self.call(
                 'POST',
                 '/v1/batches',
-                msgspec.json.encode(asked),
+                msgspec.json.encode(sent_at),
                 headers,
             ),
         )
@@ -196,9 +196,9 @@
         :param seconds: longest wait.
         :returns: the batch as it is then.
         """
-        give_up = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         batch: dict[str, Any] = {'status': 'unknown'}
-        while time.monotonic() < give_up:
+        while time.monotonic() < deadline:
             reply = self.call('GET', f'/v1/batches/{job}')
             if reply is not None and reply.is_good:
                 batch = msgspec.json.decode(reply.body)
@@ -238,16 +238,16 @@
         :returns: the answer, ``None`` where there was none.
         """
         called = self.caller.call(
-            self._choose(),
+            self._choose_entry(),
             method,
             path,
             body,
             headers=self._make_headers() | (headers or {}),
-            patience=PATIENCE_SECONDS,
+            patience=TIMEOUT_SECONDS,
         )
         return None if isinstance(called, Err) else called.ok_value
 
-    def _choose(self) -> str:
+    def _choose_entry(self) -> str:
         self._turn += 1
         return self.addresses[self._turn % len(self.addresses)]
 
@@ -302,7 +302,7 @@
     return b'\n'.join((*lines, b''))
 
 
-def _read_answer(reply: StreamReply, answer: Answer, asked: float) -> str:
+def _read_answer(reply: StreamReply, answer: Answer, sent_at: float) -> str:
     """Read a streamed answer; an answer that is not whole is empty."""
     if reply.status != HTTPStatus.OK:
         error = _read_refusal(reply.read())
@@ -318,7 +318,7 @@
         if last:
             answer.gaps.append(now - last)
         else:
-            answer.first_token = now - asked
+            answer.first_token = now - sent_at
         last = now
     return assembler.text if assembler.is_whole else ''
 
--- a/src/wigeonpier/bench/main.py
+++ b/src/wigeonpier/bench/main.py
@@ -107,13 +107,13 @@
 def _run_capacity(parsed: argparse.Namespace) -> int:
     path = Path(parsed.page)
     page = path.read_text(encoding='utf-8')
-    fresh = update_page(page, render_figures(load_slopes(parsed.slopes)))
+    updated = update_page(page, render_figures(load_slopes(parsed.slopes)))
     if not parsed.check:
-        path.write_text(fresh, encoding='utf-8')
+        path.write_text(updated, encoding='utf-8')
         return 0
-    if fresh != page:
+    if updated != page:
         sys.stderr.write(f'{path} is stale; run wigeonpier-bench capacity\n')
-    return int(fresh != page)
+    return int(updated != page)
 
 
 def _add_engine(command: argparse.ArgumentParser) -> None:
@@ -123,9 +123,11 @@
 
 def _run_engine(parsed: argparse.Namespace) -> int:
     """Serve one stand-in engine until it is told to stop."""
-    told = msgspec.json.decode(parsed.settings, type=EngineSettings)
-    engine = StandInEngine((told.model,), told.shape, seed=told.seed)
-    engine.serve(*split_address(told.address))
+    settings = msgspec.json.decode(parsed.settings, type=EngineSettings)
+    engine = StandInEngine(
+        (settings.model,), settings.shape, seed=settings.seed
+    )
+    engine.serve(*split_address(settings.address))
     watch_signals().wait()
     return 0
 
--- a/src/wigeonpier/bench/platform.py
+++ b/src/wigeonpier/bench/platform.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-MOST_BODY = 2_000_000
+MAX_BODY_BYTES = 2_000_000
 LEASE_BITS = 48
 WATCH_KEEPALIVE_SECONDS = 5.0
 
@@ -81,18 +81,18 @@
         :param request: the call.
         :returns: the answer.
         """
-        request.body_limit = MOST_BODY
+        request.body_limit = MAX_BODY_BYTES
         routes = [
             make_route('POST', '/v3/kv/range', self._range),
             make_route('POST', '/v3/kv/txn', self._swap),
             make_route('POST', '/v3/kv/deleterange', self._delete),
             make_route('POST', '/v3/lease/grant', self._grant),
-            make_route('POST', '/v3/lease/keepalive', self._keep),
+            make_route('POST', '/v3/lease/keepalive', self._renew_lease),
             make_route('POST', '/v3/watch', self._watch),
             make_route('GET', '/vms', self._list_vms),
         ]
         self.calls[request.path] += 1
-        self._refuse_when_down()
+        self._check_up()
         gevent.sleep(self.faults.delay)
         return dispatch_to(routes)(request)
 
@@ -149,14 +149,14 @@
             if self.cells[key].lease == lease:
                 self._write(key, None, 0)
 
-    def _refuse_when_down(self) -> None:
+    def _check_up(self) -> None:
         if self.faults.down:
             raise Refusal(ErrorKind.platform_down, 'the service is down')
 
     def _range(self, request: Request) -> Response:
-        asked = msgspec.json.decode(request.read_body())
-        start = _decode(asked['key']).decode()
-        end = _decode(asked.get('range_end', '')).decode()
+        message = msgspec.json.decode(request.read_body())
+        start = _decode(message['key']).decode()
+        end = _decode(message.get('range_end', '')).decode()
         found = [
             _render_cell(key, self.cells[key])
             for key in sorted(self.cells)
@@ -165,30 +165,32 @@
         return answer_json({'header': self._make_header(), 'kvs': found})
 
     def _delete(self, request: Request) -> Response:
-        asked = msgspec.json.decode(request.read_body())
-        start = _decode(asked['key']).decode()
-        end = _decode(asked['range_end']).decode()
-        doomed = [key for key in self.cells if start <= key < end]
-        for key in doomed:
+        message = msgspec.json.decode(request.read_body())
+        start = _decode(message['key']).decode()
+        end = _decode(message['range_end']).decode()
+        deleted = [key for key in self.cells if start <= key < end]
+        for key in deleted:
             self._write(key, None, 0)
         return answer_json({'header': self._make_header()})
 
     def _swap(self, request: Request) -> Response:
-        asked = msgspec.json.decode(request.read_body())
-        compare = asked['compare'][0]
-        put = asked['success'][0].get('request_put', {})
+        message = msgspec.json.decode(request.read_body())
+        compare = message['compare'][0]
+        put = message['success'][0].get('request_put', {})
         if self._random.random() < self.faults.refuse_writes:
             raise Refusal(ErrorKind.outcome_unknown, 'lost before')
         key = _decode(compare['key']).decode()
-        fits = int(compare['mod_revision']) == self._get_revision(key)
+        matches = int(compare['mod_revision']) == self._get_revision(key)
         lease = int(put.get('lease', 0))
         if lease and lease not in self._leases:
             raise Refusal(ErrorKind.not_found, 'requested lease not found')
-        if fits:
+        if matches:
             self._write(key, _decode(put['value']) if put else None, lease)
         if self._random.random() < self.faults.lose_answers:
             raise Refusal(ErrorKind.outcome_unknown, 'lost after')
-        return answer_json({'header': self._make_header(), 'succeeded': fits})
+        return answer_json(
+            {'header': self._make_header(), 'succeeded': matches}
+        )
 
     def _get_revision(self, key: str) -> int:
         cell = self.cells.get(key)
@@ -198,41 +200,43 @@
         seconds = float(msgspec.json.decode(request.read_body())['TTL'])
         lease = self._random.getrandbits(LEASE_BITS)
         self._leases[lease] = _Lease(seconds, time.monotonic() + seconds)
-        gevent.spawn(self._end_lease_in_time, lease)
+        gevent.spawn(self._expire_lease, lease)
         return answer_json({'ID': str(lease), 'TTL': str(int(seconds))})
 
-    def _keep(self, request: Request) -> Response:
+    def _renew_lease(self, request: Request) -> Response:
         lease = int(msgspec.json.decode(request.read_body())['ID'])
-        kept = self._leases.get(lease)
-        if kept is None:
+        found = self._leases.get(lease)
+        if found is None:
             return answer_json({'result': {'ID': str(lease), 'TTL': '0'}})
-        kept.ends = time.monotonic() + kept.seconds
-        left = str(int(kept.seconds))
+        found.ends = time.monotonic() + found.seconds
+        left = str(int(found.seconds))
         return answer_json({'result': {'ID': str(lease), 'TTL': left}})
 
     def _watch(self, request: Request) -> Response:
-        asked = msgspec.json.decode(request.read_body())['create_request']
-        start = _decode(asked['key']).decode()
-        end = _decode(asked['range_end']).decode()
-        since = int(asked['start_revision'])
-        return Response(HTTPStatus.OK, self._follow(start, end, since))
+        message = msgspec.json.decode(request.read_body())['create_request']
+        start = _decode(message['key']).decode()
+        end = _decode(message['range_end']).decode()
+        since = int(message['start_revision'])
+        return Response(HTTPStatus.OK, self._stream_changes(start, end, since))
 
     def _list_vms(self, _request: Request) -> Response:
         frozen = self.faults.frozen_vms
         return answer_json(self.vms if frozen is None else frozen)
 
-    def _follow(self, start: str, end: str, since: int) -> Iterator[bytes]:
+    def _stream_changes(
+        self, start: str, end: str, since: int
+    ) -> Iterator[bytes]:
         position = 0
         while not self.faults.down:
-            fresh = [
+            changes = [
                 _render_change(*change)
                 for change in self._history[position:]
                 if change[0] >= since and start <= change[1] < end
             ]
             position = len(self._history)
             # An empty line of events keeps the connection known alive.
-            told = msgspec.json.encode({'result': {'events': fresh}})
-            yield b'%b\n' % told
+            line = msgspec.json.encode({'result': {'events': changes}})
+            yield b'%b\n' % line
             if position == len(self._history):
                 self._changed.wait(WATCH_KEEPALIVE_SECONDS)
 
@@ -248,7 +252,7 @@
         self._changed.set()
         self._changed = Signal()
 
-    def _end_lease_in_time(self, lease: int) -> None:
+    def _expire_lease(self, lease: int) -> None:
         while lease in self._leases:
             left = self._leases[lease].ends - time.monotonic()
             if left <= 0:
--- a/src/wigeonpier/bench/processes.py
+++ b/src/wigeonpier/bench/processes.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from wigeonpier.bench.proxy import HarmingProxy
 
-TEMPLATE = """node = "{name}"
+SETTINGS_TEMPLATE = """node = "{name}"
 zone = "a"
 region = "r"
 ip = "{ip}"
@@ -48,11 +48,11 @@
 historyS = 20
 """
 FIRST_PORT = 12_000
-BLOCKS = 20
+BLOCK_COUNT = 20
 BLOCK_PORTS = 1000
-PORTS = ('metrics', 'peers', 'callers', 'readiness')
+PORT_NAMES = ('metrics', 'peers', 'callers', 'readiness')
 # Ports that this process has looked at.
-_taken = count()
+_port_offsets = count()
 # The lock on its block, held until it ends.
 _locks: list[IO[bytes]] = []
 
@@ -86,10 +86,10 @@
 
     def prepare(self) -> None:
         """Write the settings file."""
-        self._ports = {name: take_port() for name in PORTS}
+        self._ports = {name: take_port() for name in PORT_NAMES}
         self._ports['peers'] = self.peers or self._ports['peers']
         self.callers = f'127.0.0.1:{self._ports["callers"]}'
-        text = TEMPLATE.format(
+        text = SETTINGS_TEMPLATE.format(
             name=self.name,
             ip=self.ip,
             folder=self.disk,
@@ -163,7 +163,7 @@
     """
     first = FIRST_PORT + _claim_block() * BLOCK_PORTS
     for _ in range(BLOCK_PORTS):
-        port = first + next(_taken) % BLOCK_PORTS
+        port = first + next(_port_offsets) % BLOCK_PORTS
         with socket.socket() as sock, suppress(OSError):
             sock.bind(('', port))
             return port
@@ -174,7 +174,7 @@
     """Claim a block of ports that no other process of this machine has."""
     if _locks:
         return int(Path(_locks[0].name).suffix[1:])
-    for block in range(BLOCKS):
+    for block in range(BLOCK_COUNT):
         path = Path(tempfile.gettempdir(), f'wigeonpier-ports.{block}')
         lock = path.open('wb')
         with suppress(BlockingIOError):
--- a/src/wigeonpier/bench/proxy.py
+++ b/src/wigeonpier/bench/proxy.py
@@ -12,13 +12,13 @@
 from gevent.socket import create_connection
 
 READ_BYTES = 65_536
-STEP_SECONDS = 0.02
+CHECK_SECONDS = 0.02
 DELAY_SECONDS = 0.15
 # Closing with this option sends a reset.
 NO_LINGER = struct.pack('ii', 1, 0)
 
 
-class Harm(StrEnum):
+class ProxyFault(StrEnum):
     """What the proxy does to all its connections."""
 
     none = 'none'
@@ -33,7 +33,7 @@
     def __init__(self, target: str, host: str = '127.0.0.1') -> None:
         """Listen on a free port of a loopback address."""
         self.target = target
-        self.harm = Harm.none
+        self.fault = ProxyFault.none
         self._pairs: set[tuple[Any, Any]] = set()
         self._server = StreamServer((host, 0), self._serve)
         self._server.start()
@@ -77,32 +77,32 @@
             return
         pair = (caller, target)
         self._pairs.add(pair)
-        pumps = [
-            gevent.spawn(self._pump, caller, target, is_back=False),
-            gevent.spawn(self._pump, target, caller, is_back=True),
+        directions = [
+            gevent.spawn(self._forward, caller, target, is_response=False),
+            gevent.spawn(self._forward, target, caller, is_response=True),
         ]
-        gevent.joinall(pumps, count=1)
-        gevent.killall(pumps)
+        gevent.joinall(directions, count=1)
+        gevent.killall(directions)
         self._pairs.discard(pair)
         for sock in pair:
             sock.close()
 
-    def _pump(self, source: Any, sink: Any, *, is_back: bool) -> None:
+    def _forward(self, source: Any, sink: Any, *, is_response: bool) -> None:
         try:
             while content := source.recv(READ_BYTES):
-                self._wait(is_back=is_back)
+                self._wait(is_response=is_response)
                 sink.sendall(content)
         except OSError:
             # Either end is gone; the other one is closed with it.
             return
 
-    def _wait(self, *, is_back: bool) -> None:
-        if self.harm is Harm.delayed:
+    def _wait(self, *, is_response: bool) -> None:
+        if self.fault is ProxyFault.delayed:
             gevent.sleep(DELAY_SECONDS)
-        while self._is_stuck(is_back=is_back):
-            gevent.sleep(STEP_SECONDS)
+        while self._is_blocked(is_response=is_response):
+            gevent.sleep(CHECK_SECONDS)
 
-    def _is_stuck(self, *, is_back: bool) -> bool:
-        if self.harm is Harm.silent:
+    def _is_blocked(self, *, is_response: bool) -> bool:
+        if self.fault is ProxyFault.silent:
             return True
-        return is_back and self.harm is Harm.one_way
+        return is_response and self.fault is ProxyFault.one_way
--- a/src/wigeonpier/bench/replica.py
+++ b/src/wigeonpier/bench/replica.py
@@ -36,10 +36,10 @@
     from wigeonpier.bench.store import StandInStore
     from wigeonpier.web.messages import Request
 
-MOST_BODY = 4_000_000
-MOST_RECEIVED = 20_000
+MAX_BODY_BYTES = 4_000_000
+MAX_RECEIVED = 20_000
 SIGNATURE = 'stand-in'
-DARK_STEP_SECONDS = 0.05
+UNRESPONSIVE_STEP_SECONDS = 0.05
 DEADLY_MARK = b'[[crash]]'
 # From the begin of its run to the end of the replica.
 DEADLY_SECONDS = 0.05
@@ -80,20 +80,20 @@
 
 
 @dataclass(slots=True)
-class DeadlyRun:
+class CrashingRun:
     """One run of a request that ends replicas.
 
     :param fingerprint: content of the request.
-    :param began_at: seconds of the steady clock.
-    :param ended_at: when the replica ended under it, 0 where it did not.
+    :param started_at: seconds of the steady clock.
+    :param crashed_at: when the replica ended under it, 0 where it did not.
     """
 
     fingerprint: str
-    began_at: float
-    ended_at: float = 0
+    started_at: float
+    crashed_at: float = 0
 
 
-class Door(Protocol):
+class Frontend(Protocol):
     """Another way to the replica, which ends and begins with it."""
 
     def shut(self) -> None:
@@ -104,7 +104,7 @@
 
 
 @dataclass(slots=True)
-class _Life:
+class _ReplicaProcess:
     """What a replica holds from its start to its end.
 
     :param gate: its slots.
@@ -142,8 +142,8 @@
     :param lapse_seconds: from an end until its entry is gone.
     :param ended_by: fingerprint of each request that ended it, empty for an
         end for another reason.
-    :param deadly_runs: runs of requests that end replicas.
-    :param doors: other ways to it.
+    :param crashing_runs: runs of requests that end replicas.
+    :param frontends: other ways to it.
     :param received: the last requests that it ran.
     """
 
@@ -163,13 +163,15 @@
     register_seconds: float = 0
     lapse_seconds: float = 1.5
     ended_by: list[str] = field(default_factory=list)
-    deadly_runs: list[DeadlyRun] = field(default_factory=list)
-    doors: list[Door] = field(default_factory=list)
+    crashing_runs: list[CrashingRun] = field(default_factory=list)
+    frontends: list[Frontend] = field(default_factory=list)
     received: deque[ReceivedRequest] = field(
-        default_factory=lambda: deque(maxlen=MOST_RECEIVED),
+        default_factory=lambda: deque(maxlen=MAX_RECEIVED),
     )
     _data_centre: str = ''
-    _life: _Life = field(default_factory=lambda: _Life(BoundedSemaphore()))
+    _life: _ReplicaProcess = field(
+        default_factory=lambda: _ReplicaProcess(BoundedSemaphore())
+    )
     _server: Server | None = None
 
     @property
@@ -241,15 +243,15 @@
         self.ended_by.append(fingerprint)
         self.stop()
         self._life.is_over = True
-        for door in self.doors:
-            door.shut()
+        for frontend in self.frontends:
+            frontend.shut()
         for connection in self._life.connections:
             with suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
-        gone = name_replica(self.name)
-        gevent.spawn_later(self.lapse_seconds, self.store.remove, gone)
-        begin_again = partial(self._begin_again, host, int(port))
-        gevent.spawn_later(self.restart_seconds, begin_again)
+        entry_key = name_replica(self.name)
+        gevent.spawn_later(self.lapse_seconds, self.store.remove, entry_key)
+        restart = partial(self._restart, host, int(port))
+        gevent.spawn_later(self.restart_seconds, restart)
 
     def make_text(self, identity: str, number: int) -> str:
         """Make the data of one event.
@@ -272,17 +274,17 @@
         )
 
     def _listen(self, host: str, port: int) -> str:
-        self._life = _Life(BoundedSemaphore(self.slots))
+        self._life = _ReplicaProcess(BoundedSemaphore(self.slots))
         self._server = Server(host, port, self._answer)
         self._server.start()
         return self._server.address
 
-    def _begin_again(self, host: str, port: int) -> None:
+    def _restart(self, host: str, port: int) -> None:
         base = self.name.partition('.')[0]
         self.name = f'{base}.{len(self.ended_by)}'
         self._listen(host, port)
-        for door in self.doors:
-            door.reopen()
+        for frontend in self.frontends:
+            frontend.reopen()
         self.is_leaving = False
         gevent.spawn_later(
             self.register_seconds,
@@ -293,7 +295,7 @@
     def _answer(self, request: Request) -> Response:
         self._life.connections.add(request.connection)
         while self.faults.is_dark:
-            gevent.sleep(DARK_STEP_SECONDS)
+            gevent.sleep(UNRESPONSIVE_STEP_SECONDS)
         if request.path == wire.REPORT_PATH:
             report = UpstreamReport(
                 self.running,
@@ -302,7 +304,7 @@
                 self.incarnation,
             )
             return Response(HTTPStatus.OK, encode_report(report))
-        request.body_limit = MOST_BODY
+        request.body_limit = MAX_BODY_BYTES
         body = request.read_body()
         identity = request.headers[wire.REQUEST_ID.lower()]
         expected = request.headers.get(wire.EXPECTED_INSTANCE.lower())
@@ -345,7 +347,7 @@
         last = int(request.headers.get(wire.RESUME_AFTER.lower(), 0))
         stream = self._stream(identity, last)
         if DEADLY_MARK in body and not self.faults.is_cured:
-            stream = self._die(request, body)
+            stream = self._run_crashing(request, body)
         return Response(HTTPStatus.OK, stream, EVENT_STREAM_TYPE, headers)
 
     def _stream(self, identity: str, last: int) -> Iterator[bytes]:
@@ -363,7 +365,7 @@
                 text = self.make_text(identity, number)
                 yield f'id: {number}\ndata: {text}\n\n'.encode()
 
-    def _die(self, request: Request, body: bytes) -> Iterator[bytes]:
+    def _run_crashing(self, request: Request, body: bytes) -> Iterator[bytes]:
         """End the replica under a request that runs."""
         life = self._life
         host = request.headers['host']
@@ -376,17 +378,17 @@
         )
         with ExitStack() as stack:
             _enter_slot(life, stack)
-            run = DeadlyRun(fingerprint, time.monotonic())
-            self.deadly_runs.append(run)
+            run = CrashingRun(fingerprint, time.monotonic())
+            self.crashing_runs.append(run)
             gevent.sleep(DEADLY_SECONDS)
             if not life.is_over:
-                run.ended_at = time.monotonic()
+                run.crashed_at = time.monotonic()
                 self.end(fingerprint)
             yield b''
             raise ConnectionAbortedError('the replica has ended')
 
 
-def _enter_slot(life: _Life, stack: ExitStack) -> None:
+def _enter_slot(life: _ReplicaProcess, stack: ExitStack) -> None:
     """Wait for a slot, and hold it as long as the stack."""
     life.waiting += 1
     stack.enter_context(life.gate)
--- a/src/wigeonpier/bench/site.py
+++ b/src/wigeonpier/bench/site.py
@@ -188,15 +188,15 @@
         :param overlays: overlay by site.
         :returns: its version.
         """
-        desk = self.find_entry().app
-        asked = Application(
-            desk.parts.holder.version,
+        app = self.find_entry().app
+        application = Application(
+            app.parts.holder.version,
             secrets.token_hex(8),
             'site',
             base,
             overlays,
         )
-        return desk.configuration.apply(asked).version
+        return app.configuration.apply(application).version
 
     def find_entry(self) -> Entry:
         """Find an entry that is not crashed.
@@ -218,7 +218,7 @@
         has_disk = number < self.plan.disks
         settings = EntrySettings(
             name=name,
-            data_centre=self._place(number),
+            data_centre=self._choose_data_centre(number),
             listen=f'127.0.0.1:{port}',
             platform=self._platform_address,
             peer_keys=(PEER_KEY,),
@@ -341,7 +341,7 @@
             if not entry.faults.is_dead
         )
 
-    def _place(self, number: int) -> str:
+    def _choose_data_centre(self, number: int) -> str:
         centres = self.plan.data_centres
         return centres[number % len(centres)]
 
@@ -354,7 +354,7 @@
     ) -> Replica:
         settings = LocalSettings(
             name=name,
-            data_centre=self._place(number),
+            data_centre=self._choose_data_centre(number),
             platform=self._platform_address,
             peer_keys=(PEER_KEY,),
             entries=self.list_addresses(),
--- a/src/wigeonpier/bench/soak.py
+++ b/src/wigeonpier/bench/soak.py
@@ -16,7 +16,7 @@
 from wigeonpier.bench.load import FINAL, Answer, Client, make_lines
 from wigeonpier.bench.shapes import SOAK
 from wigeonpier.bench.site import KORO, StandInSite
-from wigeonpier.bench.trouble import KINDS, Trouble
+from wigeonpier.bench.trouble import FAULTS, FaultInjector
 from wigeonpier.invariants import violations
 
 if TYPE_CHECKING:
@@ -24,17 +24,17 @@
 
 ENTRIES = 4
 COPIES = 3
-LEAST_COPIES = 2
-QUESTION_RATE = 6.0
+MIN_COPIES = 2
+REQUEST_RATE = 6.0
 ITEM_TOKENS = 12
 JOB_GAP_SECONDS = 2.0
-LEAST_ITEMS = 20
-MOST_ITEMS = 120
-FAULT_GAP = (0.3, 1.5)
+MIN_ITEMS = 20
+MAX_ITEMS = 120
+FAULT_GAP_SECONDS = (0.3, 1.5)
 FAULT_SECONDS = (0.5, 4.5)
 SETTLE_SECONDS = 90.0
 CANCEL_SHARE = 0.2
-ONE_RUN_SHARE = 0.5
+RUN_ONCE_SHARE = 0.5
 POLL_SECONDS = 0.2
 
 
@@ -94,7 +94,7 @@
 
     :param number: position in the run.
     :param items: its items.
-    :param is_one_run: whether they run at most once.
+    :param is_run_once: whether they run at most once.
     :param job: id once it is accepted.
     :param is_cancelled: whether it was cancelled.
     :param batch: how it ended.
@@ -102,7 +102,7 @@
 
     number: int
     items: int
-    is_one_run: bool
+    is_run_once: bool
     job: str = ''
     is_cancelled: bool = False
     batch: dict[str, Any] = field(default_factory=dict)
@@ -123,29 +123,29 @@
     """One run.
 
     :param site: the site under test.
-    :param draw: seeded source of randomness.
+    :param rng: seeded source of randomness.
     :param report: what it comes to.
     :param sweeps: all jobs.
     """
 
     site: StandInSite
-    draw: random.Random
+    rng: random.Random
     report: SoakReport
     sweeps: list[Sweep] = field(default_factory=list)
 
     def run(self) -> None:
         """Submit load under faults, heal, wait, and check."""
-        give_up = time.monotonic() + self.report.seconds
-        troubles = gevent.spawn(self._make_trouble, give_up)
-        asking = gevent.spawn(self._ask)
-        self._submit_until(give_up)
-        troubles.get()
-        answers = asking.get()
+        deadline = time.monotonic() + self.report.seconds
+        injecting = gevent.spawn(self._inject_faults, deadline)
+        sending = gevent.spawn(self._send_requests)
+        self._submit_until(deadline)
+        injecting.get()
+        answers = sending.get()
         self._await_all()
         self._check_sweeps()
         self._check_answers(answers)
         self.report.violations = {
-            promise.value: count for promise, count in violations.items()
+            invariant.value: count for invariant, count in violations.items()
         }
 
     def make_client(self) -> Client:
@@ -156,69 +156,69 @@
         plan = self.site.plan
         return Client(self.site.list_addresses(), plan.key, plan.service)
 
-    def _ask(self) -> list[Answer]:
-        load = LoadPlan(self.report.seconds, QUESTION_RATE, length=ITEM_TOKENS)
-        arrivals = draw_arrivals(load, self.draw)
+    def _send_requests(self) -> list[Answer]:
+        load = LoadPlan(self.report.seconds, REQUEST_RATE, length=ITEM_TOKENS)
+        arrivals = draw_arrivals(load, self.rng)
         started = time.monotonic()
         pending = []
         for arrival in arrivals:
             gevent.sleep(max(0, started + arrival.at - time.monotonic()))
             client = self.make_client()
             pending.append(gevent.spawn(client.ask, arrival, started))
-        return [asked.get() for asked in pending]
+        return [greenlet.get() for greenlet in pending]
 
-    def _make_trouble(self, give_up: float) -> None:
-        trouble = Trouble(self.site, self.draw, self.site.plan.replicas)
+    def _inject_faults(self, deadline: float) -> None:
+        injector = FaultInjector(self.site, self.rng, self.site.plan.replicas)
         counts: Counter[str] = Counter()
-        ends = []
-        while time.monotonic() < give_up:
-            kind = self.draw.choice(sorted(KINDS))
+        active = []
+        while time.monotonic() < deadline:
+            kind = self.rng.choice(sorted(FAULTS))
             # Half of the time the next fault comes before this one ends, so
             # that pairs and repeats of all kinds are met.
             counts[kind] += 1
-            ends.append(gevent.spawn(self._suffer, trouble, kind))
-            gevent.sleep(self.draw.uniform(*FAULT_GAP))
-            if len([end for end in ends if not end.ready()]) > 1:
-                gevent.joinall(ends)
-        gevent.joinall(ends, raise_error=True)
+            active.append(gevent.spawn(self._apply_fault, injector, kind))
+            gevent.sleep(self.rng.uniform(*FAULT_GAP_SECONDS))
+            if len([end for end in active if not end.ready()]) > 1:
+                gevent.joinall(active)
+        gevent.joinall(active, raise_error=True)
         self.report.faults = dict(counts)
 
-    def _suffer(self, trouble: Trouble, kind: str) -> None:
-        undo = KINDS[kind](trouble)
-        gevent.sleep(self.draw.uniform(*FAULT_SECONDS))
+    def _apply_fault(self, injector: FaultInjector, kind: str) -> None:
+        undo = FAULTS[kind](injector)
+        gevent.sleep(self.rng.uniform(*FAULT_SECONDS))
         undo()
 
-    def _submit_until(self, give_up: float) -> None:
-        while time.monotonic() < give_up:
+    def _submit_until(self, deadline: float) -> None:
+        while time.monotonic() < deadline:
             sweep = Sweep(
                 number=len(self.sweeps),
-                items=self.draw.randint(LEAST_ITEMS, MOST_ITEMS),
-                is_one_run=self.draw.random() < ONE_RUN_SHARE,
+                items=self.rng.randint(MIN_ITEMS, MAX_ITEMS),
+                is_run_once=self.rng.random() < RUN_ONCE_SHARE,
             )
             self.sweeps.append(sweep)
-            gevent.spawn(self._submit, sweep, self.draw.random())
+            gevent.spawn(self._submit, sweep, self.rng.random())
             gevent.sleep(JOB_GAP_SECONDS)
 
-    def _submit(self, sweep: Sweep, chance: float) -> None:
+    def _submit(self, sweep: Sweep, cancel_draw: float) -> None:
         """Send a job again and again until it is accepted, as callers do."""
         lines = make_lines(
             self.site.plan.service,
             sweep.make_prompts(),
             ITEM_TOKENS,
-            idempotent=not sweep.is_one_run,
+            idempotent=not sweep.is_run_once,
         )
         while not sweep.job:
             try:
                 client = self.make_client()
-                made = client.create_batch(
+                batch = client.create_batch(
                     client.upload(lines),
                     idempotency_key=f'sweep-{sweep.number}',
                 )
             except (ConnectionError, RuntimeError):
                 gevent.sleep(POLL_SECONDS)
             else:
-                sweep.job = made['id']
-        if chance < CANCEL_SHARE:
+                sweep.job = batch['id']
+        if cancel_draw < CANCEL_SHARE:
             sweep.is_cancelled = True
             gevent.spawn(self._cancel, sweep)
 
@@ -232,11 +232,11 @@
                 return
 
     def _await_all(self) -> None:
-        give_up = time.monotonic() + SETTLE_SECONDS
+        deadline = time.monotonic() + SETTLE_SECONDS
         for sweep in self.sweeps:
-            while not sweep.job and time.monotonic() < give_up:
+            while not sweep.job and time.monotonic() < deadline:
                 gevent.sleep(POLL_SECONDS)
-            left = max(POLL_SECONDS, give_up - time.monotonic())
+            left = max(POLL_SECONDS, deadline - time.monotonic())
             sweep.batch = self.make_client().await_batch(sweep.job, left)
 
     def _check_sweeps(self) -> None:
@@ -261,14 +261,14 @@
     def _is_right(self, sweep: Sweep, line: dict[str, Any]) -> bool:
         if line['response'] is None:
             return True
-        place = int(line['custom_id'].removeprefix('item-'))
-        prompt = sweep.make_prompts()[place]
+        position = int(line['custom_id'].removeprefix('item-'))
+        prompt = sweep.make_prompts()[position]
         expected = make_answer(self.site.plan.service, prompt, ITEM_TOKENS)
         choice = line['response']['body']['choices'][0]
         return bool(choice['message']['content'] == expected)
 
     def _count_doubled(self, sweep: Sweep) -> int:
-        if not sweep.is_one_run:
+        if not sweep.is_run_once:
             return 0
         starts = self.site.count_starts()
         return sum(starts[prompt] > 1 for prompt in sweep.make_prompts())
@@ -293,7 +293,7 @@
     """
     violations.clear()
     plan = replace(KORO, entries=ENTRIES, disks=ENTRIES)
-    batch = {'copies': COPIES, 'least_copies': LEAST_COPIES}
+    batch = {'copies': COPIES, 'least_copies': MIN_COPIES}
     site = StandInSite(plan, folder, seed, SOAK, batch)
     site.start()
     run = SoakRun(site, random.Random(seed), SoakReport(seed, seconds))
--- a/src/wigeonpier/bench/soakcallers.py
+++ b/src/wigeonpier/bench/soakcallers.py
@@ -29,19 +29,19 @@
 HOST = 'soak.example'
 SERVICE = 'assistant'
 DATA_CENTRE = 'a'
-CALL_SECONDS = 6.0
-QUESTION_GAP = (0.01, 0.12)
-JOB_GAP = (0.3, 1.2)
-READ_GAP = (0.1, 0.5)
-ITEMS = 5
+CALL_TIMEOUT_SECONDS = 6.0
+REQUEST_GAP_SECONDS = (0.01, 0.12)
+JOB_GAP_SECONDS = (0.3, 1.2)
+READ_GAP_SECONDS = (0.1, 0.5)
+ITEMS_PER_JOB = 5
 OK = 200
 ACCEPTED = 202
 # These say that nothing has run, nor ever will.
 NOT_RUN = frozenset((408, 421, 429, 503))
-ATTEMPTS = 2
-SHARED_ONE_IN = 5
+MAX_SUBMISSIONS = 2
+SHARED_BODY_INTERVAL = 5
 # Requests under this path may run once at most.
-ONCE = '/once/'
+RUN_ONCE_PREFIX = '/once/'
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,34 +83,34 @@
     def __init__(
         self,
         entries: list[HostedProcess],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         """Call the entries once started."""
         self.jobs: list[SoakJob] = []
         # Key of a customer, empty where nobody needs one.
         self.key = ''
         self._entries = entries
-        self._draw = draw
+        self._rng = rng
         self._pool = ConnectionPool()
         self._outcomes: dict[str, SoakAnswer] = {}
-        self._broken: list[str] = []
-        self._deadly = 0
-        self._is_over = False
+        self._violations: list[str] = []
+        self._crashing_count = 0
+        self._is_stopped = False
         self._greenlets: list[gevent.Greenlet[..., None]] = []
 
     def is_ready(self) -> bool:
         """Tell whether each entry serves."""
         return all(
-            self._ask('/ask/ready', f'ready{number}', entry) == OK
+            self._send('/ask/ready', f'ready{number}', entry) == OK
             for number, entry in enumerate(self._entries)
         )
 
     def start(self) -> None:
         """Begin to call."""
         self._greenlets = [
-            gevent.spawn(self._ask_on),
-            gevent.spawn(self._hand_in_on),
-            spawn_loop('readers', self._read_on),
+            gevent.spawn(self._send_requests),
+            gevent.spawn(self._submit_jobs),
+            spawn_loop('readers', self._read_jobs),
         ]
 
     def finish(self, seconds: float) -> None:
@@ -118,14 +118,14 @@
 
         :param seconds: longest wait.
         """
-        self._is_over = True
+        self._is_stopped = True
         gevent.joinall(self._greenlets[:2])
-        give_up = time.monotonic() + seconds
-        while time.monotonic() < give_up and self._list_open():
-            gevent.sleep(READ_GAP[1])
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline and self._list_unfinished():
+            gevent.sleep(READ_GAP_SECONDS[1])
         gevent.killall(self._greenlets)
 
-    def find_broken(self, replicas: list[StandInReplica]) -> list[str]:
+    def find_violations(self, replicas: list[StandInReplica]) -> list[str]:
         """Find what callers and upstreams saw that must never be.
 
         :param replicas: upstreams, which count their runs.
@@ -144,7 +144,7 @@
             for name, answer in self._outcomes.items()
         ]
         found += [check_job(job, replicas[0], runs) for job in self.jobs]
-        return self._broken + list(chain.from_iterable(found))
+        return self._violations + list(chain.from_iterable(found))
 
     def count_outcomes(self) -> dict[str, int]:
         """Count answers to questions by status, 0 for none."""
@@ -158,44 +158,44 @@
         accepted = len([job for job in self.jobs if job.is_accepted])
         return {'accepted': accepted, 'not': len(self.jobs) - accepted}
 
-    def ask_deadly(self, path: str, body: bytes) -> int:
+    def send_crashing(self, path: str, body: bytes) -> int:
         """Ask for what ends replicas, at any entry.
 
         :param path: where to.
         :param body: what ends them.
         :returns: the status, 0 for no answer.
         """
-        self._deadly += 1
-        entry = self._draw.choice(self._entries)
-        name = f'deadly{self._deadly}'
+        self._crashing_count += 1
+        entry = self._rng.choice(self._entries)
+        name = f'deadly{self._crashing_count}'
         reply = self._call(entry, 'POST', path, name, body)
         return reply.status if reply else 0
 
-    def ask_with(self, key: str, path: str, name: str) -> None:
+    def send_with_key(self, key: str, path: str, name: str) -> None:
         """Ask with a key, at any entry; the answer is not checked.
 
         :param key: the key.
         :param path: where to.
         :param name: id of the request.
         """
-        entry = self._draw.choice(self._entries)
+        entry = self._rng.choice(self._entries)
         self._call(entry, 'POST', path, name, key=key)
 
-    def _ask_on(self) -> None:
-        asking: list[gevent.Greenlet[..., int]] = []
-        while not self._is_over:
-            number = len(asking)
-            path = self._draw.choice(('/ask/q', '/once/q'))
-            entry = self._draw.choice(self._entries)
-            asking.append(
-                gevent.spawn(self._ask, path, f'q{number}', entry),
+    def _send_requests(self) -> None:
+        sending: list[gevent.Greenlet[..., int]] = []
+        while not self._is_stopped:
+            number = len(sending)
+            path = self._rng.choice(('/ask/q', '/once/q'))
+            entry = self._rng.choice(self._entries)
+            sending.append(
+                gevent.spawn(self._send, path, f'q{number}', entry),
             )
-            gevent.sleep(self._draw.uniform(*QUESTION_GAP))
-        gevent.joinall(asking)
+            gevent.sleep(self._rng.uniform(*REQUEST_GAP_SECONDS))
+        gevent.joinall(sending)
 
-    def _ask(self, path: str, name: str, entry: HostedProcess) -> int:
+    def _send(self, path: str, name: str, entry: HostedProcess) -> int:
         # Most ask for something of their own, some for the same as others.
-        is_shared = not len(self._outcomes) % SHARED_ONE_IN
+        is_shared = not len(self._outcomes) % SHARED_BODY_INTERVAL
         body = b'' if is_shared else name.encode()
         reply = self._call(entry, 'POST', path, name, body)
         status = reply.status if reply else 0
@@ -206,15 +206,15 @@
         )
         return status
 
-    def _hand_in_on(self) -> None:
-        while not self._is_over:
+    def _submit_jobs(self) -> None:
+        while not self._is_stopped:
             job = SoakJob(f'j{len(self.jobs)}')
             self.jobs.append(job)
-            while len(job.statuses) < ATTEMPTS and not job.is_accepted:
-                self._hand_in(job)
-            gevent.sleep(self._draw.uniform(*JOB_GAP))
+            while len(job.statuses) < MAX_SUBMISSIONS and not job.is_accepted:
+                self._submit(job)
+            gevent.sleep(self._rng.uniform(*JOB_GAP_SECONDS))
 
-    def _hand_in(self, job: SoakJob) -> None:
+    def _submit(self, job: SoakJob) -> None:
         items = [
             {
                 'id': f'{job.name}-{number}',
@@ -222,20 +222,20 @@
                 'body': base64.b64encode(b'{}').decode(),
                 'tokens': 10,
             }
-            for number in range(ITEMS)
+            for number in range(ITEMS_PER_JOB)
         ]
         body = msgspec.json.encode({'items': items})
-        entry = self._draw.choice(self._entries)
+        entry = self._rng.choice(self._entries)
         reply = self._call(entry, 'POST', '/jobs/x', job.name, body)
         job.statuses.append(reply.status if reply else 0)
 
-    def _read_on(self) -> None:
-        for job in self._list_open():
+    def _read_jobs(self) -> None:
+        for job in self._list_unfinished():
             self._read(job)
-        gevent.sleep(self._draw.uniform(*READ_GAP))
+        gevent.sleep(self._rng.uniform(*READ_GAP_SECONDS))
 
     def _read(self, job: SoakJob) -> None:
-        entry = self._draw.choice(self._entries)
+        entry = self._rng.choice(self._entries)
         target = f'{wire.JOB_PATH}{job.name}?after=0'
         reply = self._call(entry, 'GET', target, '')
         if reply is None or reply.status != OK:
@@ -243,15 +243,17 @@
         results = msgspec.json.decode(reply.body)['results']
         common = min(len(results), len(job.results))
         if results[:common] != job.results[:common]:
-            self._broken.append(f'{job.name}: a position holds another result')
+            self._violations.append(
+                f'{job.name}: a position holds another result'
+            )
         if len(results) > len(job.results):
             job.results = results
 
-    def _list_open(self) -> list[SoakJob]:
+    def _list_unfinished(self) -> list[SoakJob]:
         return [
             job
             for job in self.jobs
-            if job.is_accepted and len(job.results) < ITEMS
+            if job.is_accepted and len(job.results) < ITEMS_PER_JOB
         ]
 
     def _call(
@@ -269,7 +271,7 @@
         if name:
             headers += [(wire.REQUEST_ID, name), (wire.DEADLINE_MS, '5000')]
         raw = make_request(method, target, headers, body)
-        called: Any = self._pool.call(entry.callers, raw, CALL_SECONDS)
+        called: Any = self._pool.call(entry.callers, raw, CALL_TIMEOUT_SECONDS)
         return None if isinstance(called, Err) else called.ok_value
 
 
@@ -287,22 +289,22 @@
     :param runs: how often upstreams ran it.
     :returns: each broken promise in words.
     """
-    broken = []
+    violations = []
     texts = [
         line.removeprefix('data: ')
         for line in answer.body.decode().splitlines()
         if line.startswith('data: ')
     ]
     if answer.status == OK and texts != expected.split('\n'):
-        broken.append(f'{name}: an answer is not whole')
+        violations.append(f'{name}: an answer is not whole')
     if ErrorKind.ends_upstreams.value.encode() in answer.body:
-        broken.append(f'{name}: turned away for what another one did')
-    if answer.path.startswith(ONCE):
+        violations.append(f'{name}: turned away for what another one did')
+    if answer.path.startswith(RUN_ONCE_PREFIX):
         if runs > 1:
-            broken.append(f'{name}: ran {runs} times')
+            violations.append(f'{name}: ran {runs} times')
         if answer.status in NOT_RUN and runs:
-            broken.append(f'{name}: refused and ran')
-    return broken
+            violations.append(f'{name}: refused and ran')
+    return violations
 
 
 def check_job(
@@ -317,14 +319,16 @@
     :param runs: how often upstreams ran each item.
     :returns: each broken promise in words.
     """
-    names = [f'{job.name}-{number}' for number in range(ITEMS)]
+    names = [f'{job.name}-{number}' for number in range(ITEMS_PER_JOB)]
     is_refused = set(job.statuses) <= NOT_RUN
     if is_refused and any(runs[name] for name in names):
         return [f'{job.name}: refused each time and ran']
     if not job.is_accepted:
         return []
     if sorted(found['id'] for found in job.results) != names:
-        return [f'{job.name}: has {len(job.results)} results of {ITEMS}']
+        return [
+            f'{job.name}: has {len(job.results)} results of {ITEMS_PER_JOB}'
+        ]
     return [
         f'{found["id"]}: not its whole text'
         for found in job.results
--- a/src/wigeonpier/bench/soakcrashes.py
+++ b/src/wigeonpier/bench/soakcrashes.py
@@ -16,24 +16,24 @@
     import random
     from collections.abc import Callable, Iterable
 
-    from wigeonpier.bench.replica import DeadlyRun, StandInReplica
+    from wigeonpier.bench.replica import CrashingRun, StandInReplica
     from wigeonpier.bench.soakcallers import SoakCallers
     from wigeonpier.bench.soaksite import SoakSite
 
 GAP_SECONDS = (0.4, 1.5)
 RESTART_SECONDS = (0.5, 2.0)
 DRAIN_SECONDS = 0.6
-MOST_DEADLY = 2
-DEADLY_PATHS = ('/ask/deadly', '/ask/deadly', '/once/deadly')
-COME_BACK_SECONDS = 0.2
+MAX_CRASHING = 2
+CRASHING_PATHS = ('/ask/deadly', '/ask/deadly', '/once/deadly')
+RETRY_SECONDS = 0.2
 PAUSE_SECONDS = (0.3, 1.5)
 # A caller does not come back at once after these.
-FINAL = frozenset((200, 400))
+FINAL_STATUSES = frozenset((200, 400))
 # The stated bound: how long after the third end the news may take, and how
 # often the request may reach a replica after that.
-ENDS = 3
-NEWS_SECONDS = 3.0
-LATE_RUNS = 3
+CONFIRMING_CRASHES = 3
+PROPAGATION_SECONDS = 3.0
+MAX_LATE_RUNS = 3
 
 
 @dataclass
@@ -42,67 +42,67 @@
 
     :param site: what is harmed.
     :param callers: ask for something else meanwhile.
-    :param draw: chooses what and when.
-    :param deadly: requests that end replicas so far.
+    :param rng: chooses what and when.
+    :param crashing_count: requests that end replicas so far.
     """
 
     site: SoakSite
     callers: SoakCallers
-    draw: random.Random
-    deadly: int = 0
+    rng: random.Random
+    crashing_count: int = 0
     counts: Counter[str] = field(default_factory=Counter)
-    _repeating: list[gevent.Greenlet[..., None]] = field(default_factory=list)
+    _callers: list[gevent.Greenlet[..., None]] = field(default_factory=list)
 
     def run(self, seconds: float) -> None:
         """Do harm until the time is up.
 
         :param seconds: how long.
         """
-        give_up = time.monotonic() + seconds
-        kinds: tuple[tuple[str, Callable[[], object]], ...] = (
-            ('deadly request', partial(self._begin_deadly, give_up)),
-            ('replica ended', self._end_replica),
+        deadline = time.monotonic() + seconds
+        faults: tuple[tuple[str, Callable[[], object]], ...] = (
+            ('deadly request', partial(self._start_crashing, deadline)),
+            ('replica ended', self._crash_replica),
             ('replica released', self._release_replica),
         )
         # One comes at once, so that no run is without any.
-        self._begin_deadly(give_up)
-        while time.monotonic() < give_up:
-            gevent.sleep(self.draw.uniform(*GAP_SECONDS))
-            name, harm = self.draw.choice(kinds)
+        self._start_crashing(deadline)
+        while time.monotonic() < deadline:
+            gevent.sleep(self.rng.uniform(*GAP_SECONDS))
+            name, inject = self.rng.choice(faults)
             self.counts[name] += 1
-            harm()
-        gevent.joinall(self._repeating)
+            inject()
+        gevent.joinall(self._callers)
 
-    def _begin_deadly(self, give_up: float) -> None:
-        if self.deadly >= MOST_DEADLY:
+    def _start_crashing(self, deadline: float) -> None:
+        if self.crashing_count >= MAX_CRASHING:
             return
-        self.deadly += 1
-        body = b'%s %d' % (DEADLY_MARK, self.deadly)
-        path = self.draw.choice(DEADLY_PATHS)
-        self._repeating.append(
-            gevent.spawn(self._repeat, path, body, give_up),
+        self.crashing_count += 1
+        body = b'%s %d' % (DEADLY_MARK, self.crashing_count)
+        path = self.rng.choice(CRASHING_PATHS)
+        self._callers.append(
+            gevent.spawn(self._repeat_request, path, body, deadline),
         )
 
-    def _repeat(self, path: str, body: bytes, give_up: float) -> None:
+    def _repeat_request(self, path: str, body: bytes, deadline: float) -> None:
         """Come twice, pause, and come again, at any entry."""
-        while time.monotonic() < give_up:
-            status = self.callers.ask_deadly(path, body)
-            if status not in FINAL:
-                gevent.sleep(COME_BACK_SECONDS)
-                self.callers.ask_deadly(path, body)
-            gevent.sleep(self.draw.uniform(*PAUSE_SECONDS))
-
-    def _end_replica(self) -> None:
-        replica = self.draw.choice(self.site.replicas)
-        replica.restart_seconds = self.draw.uniform(*RESTART_SECONDS)
+        while time.monotonic() < deadline:
+            status = self.callers.send_crashing(path, body)
+            if status not in FINAL_STATUSES:
+                gevent.sleep(RETRY_SECONDS)
+                self.callers.send_crashing(path, body)
+            gevent.sleep(self.rng.uniform(*PAUSE_SECONDS))
+
+    def _crash_replica(self) -> None:
+        replica = self.rng.choice(self.site.replicas)
+        replica.restart_seconds = self.rng.uniform(*RESTART_SECONDS)
         replica.end()
 
     def _release_replica(self) -> None:
-        replica = self.draw.choice(self.site.replicas)
-        gevent.spawn(_release, replica)
+        replica = self.rng.choice(self.site.replicas)
+        gevent.spawn(_release_gracefully, replica)
 
 
-def _release(replica: StandInReplica) -> None:
+def _release_gracefully(replica: StandInReplica) -> None:
     """Replace a replica by one of the same version, as in a rolling restart."""
     if not replica.is_up or replica.is_leaving:
         return
@@ -115,27 +115,29 @@
     replica.is_leaving = False
 
 
-def check_deadly(runs: Iterable[DeadlyRun]) -> list[str]:
+def check_crashing_runs(runs: Iterable[CrashingRun]) -> list[str]:
     """Check how often requests that end replicas reached them.
 
     :param runs: their runs at all replicas.
     :returns: each broken promise in words.
     """
-    broken = []
-    for fingerprint, own in _group_runs(runs).items():
-        ends = sorted(run.ended_at for run in own if run.ended_at)
-        if len(ends) < ENDS:
+    violations = []
+    for fingerprint, request_runs in _group_runs(runs).items():
+        crash_times = sorted(
+            run.crashed_at for run in request_runs if run.crashed_at
+        )
+        if len(crash_times) < CONFIRMING_CRASHES:
             continue
-        known_by = ends[ENDS - 1] + NEWS_SECONDS
-        late = [run for run in own if run.began_at > known_by]
-        if len(late) > LATE_RUNS:
-            broken.append(
-                f'{fingerprint}: {len(late)} runs after {len(ends)} ends',
+        known_at = crash_times[CONFIRMING_CRASHES - 1] + PROPAGATION_SECONDS
+        late = [run for run in request_runs if run.started_at > known_at]
+        if len(late) > MAX_LATE_RUNS:
+            violations.append(
+                f'{fingerprint}: {len(late)} runs after {len(crash_times)} ends',
             )
-    return broken
+    return violations
 
 
-def count_ends(runs: Iterable[DeadlyRun]) -> list[int]:
+def count_crashes(runs: Iterable[CrashingRun]) -> list[int]:
     """Count the replicas that ended under each deadly request.
 
     :param runs: their runs at all replicas.
@@ -143,15 +145,15 @@
     """
     return sorted(
         (
-            sum(bool(run.ended_at) for run in own)
-            for own in _group_runs(runs).values()
+            sum(bool(run.crashed_at) for run in request_runs)
+            for request_runs in _group_runs(runs).values()
         ),
         reverse=True,
     )
 
 
-def _group_runs(runs: Iterable[DeadlyRun]) -> dict[str, list[DeadlyRun]]:
-    grouped: dict[str, list[DeadlyRun]] = {}
+def _group_runs(runs: Iterable[CrashingRun]) -> dict[str, list[CrashingRun]]:
+    grouped: dict[str, list[CrashingRun]] = {}
     for run in runs:
         grouped.setdefault(run.fingerprint, []).append(run)
     return grouped
--- a/src/wigeonpier/bench/soakfaults.py
+++ b/src/wigeonpier/bench/soakfaults.py
@@ -10,7 +10,7 @@
 
 import gevent
 
-from wigeonpier.bench.proxy import Harm
+from wigeonpier.bench.proxy import ProxyFault
 
 if TYPE_CHECKING:
     import random
@@ -24,9 +24,9 @@
     Fault = tuple[str, Callable[[], None]]
 
 RESTART_SECONDS = 0.3
-HARM_SECONDS = (0.5, 3.0)
+FAULT_SECONDS = (0.5, 3.0)
 STEP_SECONDS = 0.05
-HARMS = (Harm.delayed, Harm.silent, Harm.one_way)
+PROXY_FAULTS = (ProxyFault.delayed, ProxyFault.silent, ProxyFault.one_way)
 
 
 @dataclass
@@ -34,13 +34,13 @@
     """Harms a site from outside its processes.
 
     :param site: what is harmed.
-    :param draw: chooses what and for how long.
-    :param has_wiped: whether a disk was lost already.
+    :param rng: chooses what and for how long.
+    :param has_wiped_disk: whether a disk was lost already.
     """
 
     site: SoakSite
-    draw: random.Random
-    has_wiped: bool = field(default=False, init=False)
+    rng: random.Random
+    has_wiped_disk: bool = field(default=False, init=False)
 
     def list_faults(self) -> list[Fault]:
         """List all faults.
@@ -54,15 +54,18 @@
         ]
 
     def _list_process_faults(self) -> Iterator[Fault]:
-        yield 'kill', lambda: _restart(self._pick(), signal.SIGKILL)
-        yield 'term', lambda: _restart(self._pick(), signal.SIGTERM)
-        yield 'hup', lambda: _reload(self._pick())
-        yield 'pause', lambda: _pause(self._pick(), self._draw_time())
+        yield 'kill', lambda: _restart(self._choose_process(), signal.SIGKILL)
+        yield 'term', lambda: _restart(self._choose_process(), signal.SIGTERM)
+        yield 'hup', lambda: _reload(self._choose_process())
+        yield (
+            'pause',
+            lambda: _pause(self._choose_process(), self._choose_duration()),
+        )
         yield 'kill all', self._kill_all
         yield 'disk wiped', self._wipe_disk
-        yield 'reset', lambda: self._pick().store.reset()
-        for kind in HARMS:
-            yield kind.value, partial(self._harm_store_way, kind)
+        yield 'reset', lambda: self._choose_process().store.reset()
+        for kind in PROXY_FAULTS:
+            yield kind.value, partial(self._disturb_store_link, kind)
 
     def _list_store_faults(self) -> Iterator[Fault]:
         yield 'store down', self._take_store_down
@@ -72,29 +75,39 @@
 
     def _list_replica_faults(self) -> Iterator[Fault]:
         yield 'stream broken', self._break_stream
-        yield 'turned away', self._turn_away
+        yield 'turned away', self._refuse_requests
         yield (
             'replica restarted',
-            lambda: self.site.restart_replica(self._pick_replica()),
+            lambda: self.site.restart_replica(self._choose_replica()),
+        )
+        yield (
+            'replica reset',
+            lambda: self.rng.choice(self.site.proxies).reset(),
         )
-        yield 'replica reset', lambda: self.draw.choice(self.site.ways).reset()
-        for kind in HARMS:
-            yield f'replica {kind.value}', partial(self._harm_replica, kind)
+        for kind in PROXY_FAULTS:
+            yield (
+                f'replica {kind.value}',
+                partial(self._disturb_replica_link, kind),
+            )
 
-    def _pick(self) -> HostedProcess:
-        return self.draw.choice(self.site.processes)
+    def _choose_process(self) -> HostedProcess:
+        return self.rng.choice(self.site.processes)
 
-    def _pick_replica(self) -> StandInReplica:
-        return self.draw.choice(self.site.replicas)
+    def _choose_replica(self) -> StandInReplica:
+        return self.rng.choice(self.site.replicas)
 
-    def _draw_time(self) -> float:
-        return self.draw.uniform(*HARM_SECONDS)
+    def _choose_duration(self) -> float:
+        return self.rng.uniform(*FAULT_SECONDS)
 
-    def _harm_store_way(self, kind: Harm) -> None:
-        _harm(self._pick().store, kind, self._draw_time())
+    def _disturb_store_link(self, kind: ProxyFault) -> None:
+        _apply_proxy_fault(
+            self._choose_process().store, kind, self._choose_duration()
+        )
 
-    def _harm_replica(self, kind: Harm) -> None:
-        _harm(self.draw.choice(self.site.ways), kind, self._draw_time())
+    def _disturb_replica_link(self, kind: ProxyFault) -> None:
+        _apply_proxy_fault(
+            self.rng.choice(self.site.proxies), kind, self._choose_duration()
+        )
 
     def _kill_all(self) -> None:
         restarts = [
@@ -105,10 +118,10 @@
 
     def _wipe_disk(self) -> None:
         """Lose a disk, once a run: so much may be lost at a time."""
-        if self.has_wiped:
+        if self.has_wiped_disk:
             return
-        self.has_wiped = True
-        process = self.draw.choice(
+        self.has_wiped_disk = True
+        process = self.rng.choice(
             [one for one in self.site.processes if one.role == 'storage'],
         )
         process.kill()
@@ -118,7 +131,7 @@
 
     def _take_store_down(self) -> None:
         self.site.store.faults.is_down = True
-        gevent.sleep(self._draw_time())
+        gevent.sleep(self._choose_duration())
         self.site.store.faults.is_down = False
 
     def _lose_answers(self) -> None:
@@ -129,10 +142,10 @@
         self.site.configure()
 
     def _break_stream(self) -> None:
-        self._pick_replica().faults.break_after += 2
+        self._choose_replica().faults.break_after += 2
 
-    def _turn_away(self) -> None:
-        self._pick_replica().faults.turn_away += 3
+    def _refuse_requests(self) -> None:
+        self._choose_replica().faults.turn_away += 3
 
 
 def _restart(process: HostedProcess, number: signal.Signals) -> None:
@@ -162,7 +175,9 @@
     process.send(signal.SIGCONT)
 
 
-def _harm(proxy: HarmingProxy, kind: Harm, seconds: float) -> None:
-    proxy.harm = kind
+def _apply_proxy_fault(
+    proxy: HarmingProxy, kind: ProxyFault, seconds: float
+) -> None:
+    proxy.fault = kind
     gevent.sleep(seconds)
-    proxy.harm = Harm.none
+    proxy.fault = ProxyFault.none
--- a/src/wigeonpier/bench/soakkeys.py
+++ b/src/wigeonpier/bench/soakkeys.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from wigeonpier.bench.proxy import Harm
+from wigeonpier.bench.proxy import ProxyFault
 from wigeonpier.platform import wire
 from wigeonpier.served import ServedCustomer
 
@@ -22,31 +22,31 @@
     from wigeonpier.bench.soaksite import SoakSite
 
 CALM = ServedCustomer('calm')
-TURNING = ServedCustomer('turning')
+ROTATING = ServedCustomer('turning')
 HOT = ServedCustomer('hot', rate=4, burst=4)
 CALM_KEY = 'soak-key-calm'
 HOT_KEY = 'soak-key-hot'
 UNKNOWN_KEY = 'soak-key-unknown'
 PATH = '/ask/keys'
-TURN_SECONDS = (0.8, 2.0)
-ASK_SECONDS = 0.06
-HOT_SECONDS = 0.03
+ROTATION_SECONDS = (0.8, 2.0)
+REQUEST_GAP_SECONDS = 0.06
+BURST_GAP_SECONDS = 0.03
 BURST_SECONDS = (1.0, 3.0)
 PAUSE_SECONDS = (0.5, 2.0)
 # Longer than the bound, so that keys end meanwhile.
-CUT_SECONDS = 5.0
+ISOLATION_SECONDS = 5.0
 STEP_SECONDS = 0.1
 # The bounds of the settings of the daemons.
 REVOKE_SECONDS = 3.0
-SPAN_SECONDS = 5.0
-SLACK = 10
-OVERAGE = 0.1
+WINDOW_SECONDS = 5.0
+QUOTA_SLACK = 10
+QUOTA_OVERAGE = 0.1
 # No configuration has what these answers say of a calm customer.
-WRONG = frozenset((401, 403, 404, 429))
+UNEXPECTED_STATUSES = frozenset((401, 403, 404, 429))
 
 
 @dataclass(frozen=True, slots=True)
-class AskedRequest:
+class SentRequest:
     """A request as its caller sent it.
 
     :param key: the key that it bore.
@@ -63,18 +63,18 @@
 
     :param site: its configuration is changed.
     :param callers: ask.
-    :param draw: chooses what and when.
-    :param asked: requests by id.
-    :param taken_away: when the end of each key was confirmed.
+    :param rng: chooses what and when.
+    :param sent: requests by id.
+    :param revoked_at: when the end of each key was confirmed.
     """
 
     site: SoakSite
     callers: SoakCallers
-    draw: random.Random
-    asked: dict[str, AskedRequest] = field(default_factory=dict)
-    taken_away: dict[str, float] = field(default_factory=dict)
+    rng: random.Random
+    sent: dict[str, SentRequest] = field(default_factory=dict)
+    revoked_at: dict[str, float] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
-    _turns: int = 0
+    _rotations: int = 0
 
     def prepare(self) -> None:
         """Put the customers into the configuration."""
@@ -82,7 +82,7 @@
         self.site.customers = {
             CALM_KEY: CALM,
             HOT_KEY: HOT,
-            self._name_key(): TURNING,
+            self._make_key(): ROTATING,
         }
         self.site.configure()
 
@@ -94,48 +94,50 @@
         loops = [
             gevent.spawn(loop, time.monotonic() + seconds)
             for loop in (
-                self._turn_on,
-                self._ask_on,
-                self._burst_on,
-                self._cut_all,
+                self._rotate_keys,
+                self._send_requests,
+                self._send_bursts,
+                self._isolate_all,
             )
         ]
         gevent.joinall(loops)
 
-    def find_broken(self, runs: Iterable[ReceivedRequest]) -> list[str]:
+    def find_violations(self, runs: Iterable[ReceivedRequest]) -> list[str]:
         """Find what upstreams and callers saw that must never be.
 
         :param runs: requests that upstreams ran.
         :returns: each broken promise in words.
         """
-        seen = list(runs)
-        broken = [text for run in seen if (text := self._check_run(run))]
-        broken += check_spans(self._list_hot(seen))
+        received = list(runs)
+        violations = [
+            text for run in received if (text := self._check_run(run))
+        ]
+        violations += check_windows(self._list_hot(received))
         calm = self.callers.count_outcomes()
-        broken += [
+        violations += [
             f'{count} answers of {status} to a calm customer'
             for status, count in calm.items()
-            if int(status) in WRONG
+            if int(status) in UNEXPECTED_STATUSES
         ]
-        return broken
+        return violations
 
     def _check_run(self, run: ReceivedRequest) -> str:
         """Check one run; empty where nothing is wrong."""
-        told = ' '.join(run.headers.values())
-        if 'soak-key-' in told:
+        header_text = ' '.join(run.headers.values())
+        if 'soak-key-' in header_text:
             return f'{run.identity}: a key was passed on'
         name = run.headers.get(wire.CUSTOMER.lower(), '')
-        asked = self.asked.get(run.identity)
-        if asked is None:
+        sent = self.sent.get(run.identity)
+        if sent is None:
             is_right = name == CALM.name
             return '' if is_right else f'{run.identity}: run as {name!r}'
-        if asked.key == UNKNOWN_KEY:
+        if sent.key == UNKNOWN_KEY:
             return f'{run.identity}: run with a key that nobody has'
-        ended_at = self.taken_away.get(asked.key)
-        if ended_at and asked.sent_at > ended_at + REVOKE_SECONDS:
-            late = asked.sent_at - ended_at
+        key_revoked_at = self.revoked_at.get(sent.key)
+        if key_revoked_at and sent.sent_at > key_revoked_at + REVOKE_SECONDS:
+            late = sent.sent_at - key_revoked_at
             return f'{run.identity}: run {late:.1f} s after its key had ended'
-        expected = HOT.name if asked.key == HOT_KEY else TURNING.name
+        expected = HOT.name if sent.key == HOT_KEY else ROTATING.name
         return '' if name == expected else f'{run.identity}: run as {name!r}'
 
     def _list_hot(
@@ -145,80 +147,82 @@
         """List when requests of the hot customer were sent, and ran first."""
         first: dict[str, float] = {}
         for run in runs:
-            asked = self.asked.get(run.identity)
-            if asked and asked.key == HOT_KEY:
-                known = first.get(run.identity, run.at)
-                first[run.identity] = min(known, run.at)
+            sent = self.sent.get(run.identity)
+            if sent and sent.key == HOT_KEY:
+                earliest = first.get(run.identity, run.at)
+                first[run.identity] = min(earliest, run.at)
         return sorted(
-            (self.asked[name].sent_at, at) for name, at in first.items()
+            (self.sent[name].sent_at, at) for name, at in first.items()
         )
 
-    def _turn_on(self, give_up: float) -> None:
-        while time.monotonic() < give_up:
-            gevent.sleep(self.draw.uniform(*TURN_SECONDS))
-            old = self._name_key()
-            self._turns += 1
+    def _rotate_keys(self, deadline: float) -> None:
+        while time.monotonic() < deadline:
+            gevent.sleep(self.rng.uniform(*ROTATION_SECONDS))
+            old = self._make_key()
+            self._rotations += 1
             self.counts['key turned'] += 1
             self.site.customers = {
                 CALM_KEY: CALM,
                 HOT_KEY: HOT,
-                self._name_key(): TURNING,
+                self._make_key(): ROTATING,
             }
             self.site.version += 1
             self.site.configure()
-            self.taken_away[old] = time.monotonic()
+            self.revoked_at[old] = time.monotonic()
 
-    def _ask_on(self, give_up: float) -> None:
-        while time.monotonic() < give_up:
-            key = self.draw.choice(
-                (self._name_key(), *self.taken_away, UNKNOWN_KEY),
+    def _send_requests(self, deadline: float) -> None:
+        while time.monotonic() < deadline:
+            key = self.rng.choice(
+                (self._make_key(), *self.revoked_at, UNKNOWN_KEY),
             )
-            self._ask(key)
-            gevent.sleep(ASK_SECONDS)
+            self._send(key)
+            gevent.sleep(REQUEST_GAP_SECONDS)
 
-    def _burst_on(self, give_up: float) -> None:
-        while time.monotonic() < give_up:
+    def _send_bursts(self, deadline: float) -> None:
+        while time.monotonic() < deadline:
             self.counts['burst'] += 1
-            until = time.monotonic() + self.draw.uniform(*BURST_SECONDS)
-            while time.monotonic() < min(until, give_up):
-                self._ask(HOT_KEY)
-                gevent.sleep(HOT_SECONDS)
-            gevent.sleep(self.draw.uniform(*PAUSE_SECONDS))
+            until = time.monotonic() + self.rng.uniform(*BURST_SECONDS)
+            while time.monotonic() < min(until, deadline):
+                self._send(HOT_KEY)
+                gevent.sleep(BURST_GAP_SECONDS)
+            gevent.sleep(self.rng.uniform(*PAUSE_SECONDS))
 
-    def _cut_all(self, give_up: float) -> None:
+    def _isolate_all(self, deadline: float) -> None:
         """Cut all processes off from the store for longer than keys count."""
-        gevent.sleep(self.draw.uniform(*PAUSE_SECONDS))
-        if give_up - time.monotonic() < CUT_SECONDS:
+        gevent.sleep(self.rng.uniform(*PAUSE_SECONDS))
+        if deadline - time.monotonic() < ISOLATION_SECONDS:
             return
         self.counts['all cut off'] += 1
-        until = time.monotonic() + CUT_SECONDS
+        until = time.monotonic() + ISOLATION_SECONDS
         while time.monotonic() < until:
             for process in self.site.processes:
-                process.store.harm = Harm.silent
+                process.store.fault = ProxyFault.silent
             gevent.sleep(STEP_SECONDS)
         for process in self.site.processes:
-            process.store.harm = Harm.none
+            process.store.fault = ProxyFault.none
 
-    def _ask(self, key: str) -> None:
-        name = f'k{len(self.asked)}'
-        self.asked[name] = AskedRequest(key, time.monotonic())
-        gevent.spawn(self.callers.ask_with, key, PATH, name)
+    def _send(self, key: str) -> None:
+        name = f'k{len(self.sent)}'
+        self.sent[name] = SentRequest(key, time.monotonic())
+        gevent.spawn(self.callers.send_with_key, key, PATH, name)
 
-    def _name_key(self) -> str:
-        return f'soak-key-{self._turns}'
+    def _make_key(self) -> str:
+        return f'soak-key-{self._rotations}'
 
 
-def check_spans(runs: list[tuple[float, float]]) -> list[str]:
+def check_windows(runs: list[tuple[float, float]]) -> list[str]:
     """Check a customer's requests against its limit in any span.
 
     :param runs: when each was sent, and when it ran first, in order.
     :returns: each broken promise in words.
     """
-    most = (HOT.rate * SPAN_SECONDS + HOT.burst) * (1 + OVERAGE) + SLACK
-    broken = []
+    limit = (HOT.rate * WINDOW_SECONDS + HOT.burst) * (
+        1 + QUOTA_OVERAGE
+    ) + QUOTA_SLACK
+    violations = []
     for begin, _ran in runs:
-        end = begin + SPAN_SECONDS
+        end = begin + WINDOW_SECONDS
         count = sum(sent >= begin and ran <= end for sent, ran in runs)
-        if count > most:
-            broken.append(f'{count} requests of a customer ran in a span')
-    return broken[:1]
+        if count > limit:
+            violations.append(f'{count} requests of a customer ran in a span')
+    return violations[:1]
--- a/src/wigeonpier/bench/soaksite.py
+++ b/src/wigeonpier/bench/soaksite.py
@@ -7,10 +7,14 @@
 from typing import TYPE_CHECKING
 
 from wigeonpier.bench.processes import HostedProcess, take_port
-from wigeonpier.bench.proxy import Harm, HarmingProxy
-from wigeonpier.bench.replica import DeadlyRun, ReceivedRequest, StandInReplica
+from wigeonpier.bench.proxy import HarmingProxy, ProxyFault
+from wigeonpier.bench.replica import (
+    CrashingRun,
+    ReceivedRequest,
+    StandInReplica,
+)
 from wigeonpier.bench.soakcallers import DATA_CENTRE, HOST, SERVICE
-from wigeonpier.bench.store import MOST_BODY, StandInStore
+from wigeonpier.bench.store import MAX_BODY_BYTES, StandInStore
 from wigeonpier.platform.operator import (
     CONFIGURATION_KEY,
     encode_configuration,
@@ -27,7 +31,7 @@
     from pathlib import Path
 
 DISKS = 3
-FIRST_VM = 2
+FIRST_VM_NUMBER = 2
 # An answer takes 0.4 s, so that faults meet it midway.
 EVENTS = 20
 EVENT_SECONDS = 0.02
@@ -58,11 +62,11 @@
     :param size: how many there are.
     :param store: stand-in of the store; each process has its own way to it.
     :param replicas: stand-ins of replicas.
-    :param ways: the way to each replica, for all that call it.
+    :param proxies: the way to each replica, for all that call it.
     :param processes: the daemons.
     :param peers: port of all VMs for other processes of the system.
     :param version: newest configuration.
-    :param starts: starts of replicas so far.
+    :param start_count: starts of replicas so far.
     :param customers: by key, ``None`` where nobody needs one.
     """
 
@@ -70,11 +74,11 @@
     size: SoakSize = field(default_factory=SoakSize)
     store: StandInStore = field(default_factory=StandInStore)
     replicas: list[StandInReplica] = field(default_factory=list)
-    ways: list[HarmingProxy] = field(default_factory=list)
+    proxies: list[HarmingProxy] = field(default_factory=list)
     processes: list[HostedProcess] = field(default_factory=list)
     peers: int = field(default_factory=take_port)
     version: int = 1
-    starts: int = 0
+    start_count: int = 0
     customers: dict[str, ServedCustomer] | None = None
     _store_address: str = ''
 
@@ -90,9 +94,9 @@
         for number in range(self.size.replicas):
             self._add_replica(number)
         for number in range(self.size.entries):
-            self._add('entry', f'edge-{number}')
+            self._add_process('entry', f'edge-{number}')
         for number in range(DISKS):
-            self._add('storage', f'storage-{number}')
+            self._add_process('storage', f'storage-{number}')
         for process in self.processes:
             process.start()
 
@@ -101,8 +105,8 @@
         for process in self.processes:
             process.kill()
             process.store.stop()
-        for way in self.ways:
-            way.stop()
+        for proxy in self.proxies:
+            proxy.stop()
         for replica in self.replicas:
             replica.stop()
         self.store.stop()
@@ -111,10 +115,10 @@
         """End all harm, and start what is down."""
         self.store.faults.is_down = False
         self.store.faults.lost_writes = 0
-        for way in self.ways:
-            way.harm = Harm.none
+        for proxy in self.proxies:
+            proxy.fault = ProxyFault.none
         for process in self.processes:
-            process.store.harm = Harm.none
+            process.store.fault = ProxyFault.none
             process.send(signal.SIGCONT)
         for replica in self.replicas:
             replica.faults.break_after = 0
@@ -126,19 +130,19 @@
             if not process.is_running:
                 process.start()
 
-    def list_runs(self) -> list[ReceivedRequest]:
+    def list_received(self) -> list[ReceivedRequest]:
         """List the requests that replicas ran.
 
         :returns: those at all replicas.
         """
         return [run for one in self.replicas for run in one.received]
 
-    def list_deadly_runs(self) -> list[DeadlyRun]:
+    def list_crashing_runs(self) -> list[CrashingRun]:
         """List the runs of requests that end replicas.
 
         :returns: those at all replicas.
         """
-        return [run for one in self.replicas for run in one.deadly_runs]
+        return [run for one in self.replicas for run in one.crashing_runs]
 
     def configure(self) -> None:
         """Write the configuration as the operator does."""
@@ -150,7 +154,7 @@
         configuration = ServedConfiguration(
             self.version,
             routes,
-            MOST_BODY,
+            MAX_BODY_BYTES,
             self.customers,
         )
         self.store.put(CONFIGURATION_KEY, encode_configuration(configuration))
@@ -161,34 +165,34 @@
         :param replica: the replica.
         """
         self.store.remove(name_replica(replica.name))
-        replica.name = self._name_start()
+        replica.name = self._make_replica_name()
         replica.register(DATA_CENTRE)
 
-    def _name_start(self) -> str:
-        self.starts += 1
-        return f'i-{self.starts}'
+    def _make_replica_name(self) -> str:
+        self.start_count += 1
+        return f'i-{self.start_count}'
 
     def _add_replica(self, number: int) -> None:
         replica = StandInReplica(
-            self._name_start(),
+            self._make_replica_name(),
             SERVICE,
             self.store,
             events=EVENTS,
             event_seconds=EVENT_SECONDS,
         )
         # The process beside an upstream is found at the upstream's VM.
-        vm = FIRST_VM + number
+        vm = FIRST_VM_NUMBER + number
         ip = f'127.0.0.{vm}'
         replica.start(DATA_CENTRE, ip)
-        way = HarmingProxy(replica.address, ip)
-        replica.address = way.address
-        replica.doors.append(way)
+        proxy = HarmingProxy(replica.address, ip)
+        replica.address = proxy.address
+        replica.frontends.append(proxy)
         replica.register(DATA_CENTRE)
-        self.ways.append(way)
+        self.proxies.append(proxy)
         self.replicas.append(replica)
-        self._add('worker', f'side-{number}', replica.address, ip)
+        self._add_process('worker', f'side-{number}', replica.address, ip)
 
-    def _add(
+    def _add_process(
         self,
         role: str,
         name: str,
--- a/src/wigeonpier/bench/store.py
+++ b/src/wigeonpier/bench/store.py
@@ -33,9 +33,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MOST_BODY = 4_000_000
+MAX_BODY_BYTES = 4_000_000
 PAGE_KEYS = 500
-EXPIRY_STEP_SECONDS = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 MILLISECONDS = 1000
 NUMBER = '([0-9]+)'
 
@@ -73,7 +73,7 @@
     faults: StoreFaults = field(default_factory=StoreFaults)
     calls: Counter[str] = field(default_factory=Counter)
     _cells: dict[str, StoredItem] = field(default_factory=dict)
-    _old_cells: dict[str, StoredItem] | None = None
+    _stale_cells: dict[str, StoredItem] | None = None
     _history: list[StoredItem] = field(default_factory=list)
     _leases: dict[int, _Lease] = field(default_factory=dict)
     _revision: int = 1
@@ -93,8 +93,8 @@
             make_route('GET', wire.WATCH_PATH, self._watch),
             make_route('POST', wire.COMMIT_PATH, self._commit),
             make_route('POST', wire.LEASE_PATH, self._grant),
-            make_route('POST', wire.KEEP_PATH + NUMBER, self._keep),
-            make_route('DELETE', wire.END_PATH + NUMBER, self._end),
+            make_route('POST', wire.KEEP_PATH + NUMBER, self._renew_lease),
+            make_route('DELETE', wire.END_PATH + NUMBER, self._revoke_lease),
         ]
         self._server = Server('127.0.0.1', 0, self._guard(dispatch_to(routes)))
         self._server.start()
@@ -137,23 +137,23 @@
         """Forget the history; watches from before it begin anew."""
         self._compacted = self._revision
         self._history.clear()
-        self._wake()
+        self._notify_watches()
 
     def keep_old(self, without: str = '') -> None:
         """Answer reads that may be old from what stands now.
 
         :param without: start of keys that such reads do not know, if any.
         """
-        self._old_cells = {
+        self._stale_cells = {
             key: cell
             for key, cell in self._cells.items()
             if not without or not key.startswith(without)
         }
 
     def _choose_cells(self, query: dict[str, str]) -> dict[str, StoredItem]:
-        may_be_old = wire.MAY_BE_OLD in query
-        if may_be_old and self._old_cells is not None:
-            return self._old_cells
+        allow_stale = wire.MAY_BE_OLD in query
+        if allow_stale and self._stale_cells is not None:
+            return self._stale_cells
         return self._cells
 
     def _guard(
@@ -165,10 +165,10 @@
             if self.faults.is_deaf:
                 Signal().wait()
             while self.faults.is_silent:
-                gevent.sleep(EXPIRY_STEP_SECONDS)
+                gevent.sleep(CHECK_INTERVAL_SECONDS)
             if self.faults.is_down:
                 raise Refusal(ErrorKind.platform_down, 'down')
-            request.body_limit = MOST_BODY
+            request.body_limit = MAX_BODY_BYTES
             response = handle(request)
             if request.method == 'POST' and self.faults.lost_writes:
                 self.faults.lost_writes -= 1
@@ -200,7 +200,7 @@
     def _watch(self, request: Request) -> Response:
         query = _read_query(request)
         after = int(query[wire.AFTER])
-        give_up = (
+        deadline = (
             time.monotonic() + int(query[wire.WATCH_WAIT_MS]) / MILLISECONDS
         )
         while True:
@@ -212,7 +212,7 @@
                 if event.revision > after
                 and event.key.startswith(query[wire.PREFIX])
             ]
-            left = give_up - time.monotonic()
+            left = deadline - time.monotonic()
             if events or left <= 0:
                 return answer_json(EventPage(events, self._revision))
             self._changed.wait(left)
@@ -230,38 +230,38 @@
         return answer_json(Committed(self._apply(body.writes, body.deletes)))
 
     def _grant(self, request: Request) -> Response:
-        asked = msgspec.json.decode(request.read_body(), type=LeaseBody)
-        seconds = asked.time_to_live / MILLISECONDS
+        requested = msgspec.json.decode(request.read_body(), type=LeaseBody)
+        seconds = requested.time_to_live / MILLISECONDS
         # An id that is used again would keep a dead owner's keys alive.
         self._granted += 1
         lease = self._granted
         self._leases[lease] = _Lease(seconds, time.monotonic() + seconds)
-        return answer_json(GrantedLease(lease, asked.time_to_live))
+        return answer_json(GrantedLease(lease, requested.time_to_live))
 
-    def _keep(self, _request: Request, lease: str) -> Response:
+    def _renew_lease(self, _request: Request, lease: str) -> Response:
         found = self._leases.get(int(lease))
         if found is None:
             return answer_json({}, HTTPStatus.NOT_FOUND)
         found.ends_at = time.monotonic() + found.seconds
         return answer_json(LeaseBody(int(found.seconds * MILLISECONDS)))
 
-    def _end(self, _request: Request, lease: str) -> Response:
-        self._end_lease(int(lease))
+    def _revoke_lease(self, _request: Request, lease: str) -> Response:
+        self._remove_lease(int(lease))
         return answer_json({})
 
-    def _end_lease(self, lease: int) -> None:
+    def _remove_lease(self, lease: int) -> None:
         if self._leases.pop(lease, None) is not None:
-            gone = [
+            removed = [
                 key for key, cell in self._cells.items() if cell.lease == lease
             ]
-            self._apply([], gone)
+            self._apply([], removed)
 
     def _expire(self) -> None:
         now = time.monotonic()
         for lease, found in list(self._leases.items()):
             if found.ends_at < now:
-                self._end_lease(lease)
-        gevent.sleep(EXPIRY_STEP_SECONDS)
+                self._remove_lease(lease)
+        gevent.sleep(CHECK_INTERVAL_SECONDS)
 
     def _apply(self, writes: list[KeyWrite], deletes: list[str]) -> int:
         self._revision += 1
@@ -278,12 +278,12 @@
             self._history.append(self._cells[write.key])
         for key in deletes:
             if self._cells.pop(key, None) is not None:
-                gone = StoredItem(key, revision=revision, is_gone=True)
-                self._history.append(gone)
-        self._wake()
+                removed = StoredItem(key, revision=revision, is_gone=True)
+                self._history.append(removed)
+        self._notify_watches()
         return revision
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed.clear()
 
--- a/src/wigeonpier/bench/trouble.py
+++ b/src/wigeonpier/bench/trouble.py
@@ -20,58 +20,58 @@
 SLOW_PLATFORM_SECONDS = 0.3
 LOST_SHARE = 0.4
 SLOWDOWN = 8.0
-CRASH_SECONDS = 0.4
-LEAVE_SECONDS = 8.0
-APPEND = 'append'
+RESTART_SECONDS = 0.4
+DRAIN_SECONDS = 8.0
+APPEND_METHOD = 'append'
 
 
 @dataclass(slots=True)
-class Trouble:
+class FaultInjector:
     """Draws what a fault hits.
 
     :param site: the site under test.
-    :param draw: seeded source of randomness.
-    :param started: replicas that were started in all, for names.
+    :param rng: seeded source of randomness.
+    :param replica_count: replicas that were started in all, for names.
     """
 
     site: StandInSite
-    draw: random.Random
-    started: int
+    rng: random.Random
+    replica_count: int
 
     def lose_replica(self) -> Undo:
         """Lose an upstream VM without warning; another one comes."""
-        self.site.crash_replica(self._pick_replica().settings.name)
+        self.site.crash_replica(self._choose_replica().settings.name)
         return self._add_replica
 
     def leave_replica(self) -> Undo:
         """Tell a local process to leave; another one comes."""
-        replica = self._pick_replica()
-        replica.app.leave(LEAVE_SECONDS)
+        replica = self._choose_replica()
+        replica.app.leave(DRAIN_SECONDS)
         self.site.crash_replica(replica.settings.name)
         return self._add_replica
 
     def freeze_replica(self) -> Undo:
         """Pause a local process, which then wakes."""
-        replica = self._pick_replica()
+        replica = self._choose_replica()
         replica.faults.freeze()
         return replica.faults.thaw
 
-    def cut_replica(self) -> Undo:
+    def isolate_replica(self) -> Undo:
         """Cut a local process off from all entries."""
-        replica = self._pick_replica()
+        replica = self._choose_replica()
         replica.faults.cut_from.update(self.site.list_addresses())
         return replica.faults.cut_from.clear
 
     def crash_engine(self) -> Undo:
         """Crash an engine; it comes back soon."""
-        engine = self._pick_replica().engine
+        engine = self._choose_replica().engine
         if engine is not None:
-            engine.crash(CRASH_SECONDS)
+            engine.crash(RESTART_SECONDS)
         return _do_nothing
 
     def slow_engine(self) -> Undo:
         """Make an engine many times slower."""
-        engine = self._pick_replica().engine
+        engine = self._choose_replica().engine
         if engine is None:
             return _do_nothing
         batcher = engine.batcher
@@ -80,91 +80,91 @@
 
     def lose_entry(self) -> Undo:
         """Lose an entry VM; it comes back with its data folder."""
-        name = self._pick_entry().settings.name
+        name = self._choose_entry().settings.name
         self.site.crash_entry(name)
-        return lambda: _bring_back(self.site, name)
+        return lambda: _restart_entry(self.site, name)
 
     def freeze_entry(self) -> Undo:
         """Pause an entry process, which then wakes."""
-        entry = self._pick_entry()
+        entry = self._choose_entry()
         entry.faults.freeze()
         return entry.faults.thaw
 
     def fill_disk(self) -> Undo:
         """Fill a data folder."""
-        folder = self._pick_entry().app.parts.folder
+        folder = self._choose_entry().app.parts.folder
         if folder is None:
             return _do_nothing
-        setattr(folder, APPEND, _refuse_write)
+        setattr(folder, APPEND_METHOD, _refuse_write)
         return lambda: _free_disk(folder)
 
     def stop_platform(self) -> Undo:
         """Take the key-value service down."""
         self.site.platform.faults.down = True
-        return self._heal_platform
+        return self._restore_platform
 
     def slow_platform(self) -> Undo:
         """Make the key-value service slow."""
         self.site.platform.faults.delay = SLOW_PLATFORM_SECONDS
-        return self._heal_platform
+        return self._restore_platform
 
     def lose_answers(self) -> Undo:
         """Lose answers after writes took effect."""
         self.site.platform.faults.lose_answers = LOST_SHARE
-        return self._heal_platform
+        return self._restore_platform
 
     def lose_writes(self) -> Undo:
         """Lose writes before they took effect."""
         self.site.platform.faults.refuse_writes = LOST_SHARE
-        return self._heal_platform
+        return self._restore_platform
 
     def freeze_list(self) -> Undo:
         """Show the VM list as it is now, whatever comes."""
         platform = self.site.platform
         platform.faults.frozen_vms = [dict(vm) for vm in platform.vms]
-        return self._heal_platform
+        return self._restore_platform
 
-    def _heal_platform(self) -> None:
+    def _restore_platform(self) -> None:
         self.site.platform.faults = PlatformFaults()
 
-    def _pick_replica(self) -> Replica:
+    def _choose_replica(self) -> Replica:
         alive = [
             replica
             for replica in self.site.replicas.values()
             if replica.engine is not None
         ]
-        return self.draw.choice(alive)
+        return self.rng.choice(alive)
 
-    def _pick_entry(self) -> Entry:
+    def _choose_entry(self) -> Entry:
         alive = [
             entry
             for entry in self.site.entries.values()
             if not entry.faults.is_dead
         ]
-        return self.draw.choice(alive)
+        return self.rng.choice(alive)
 
     def _add_replica(self) -> None:
-        self.started += 1
+        self.replica_count += 1
         service = self.site.plan.service
-        self.site.add_replica(f'{service}-{self.started}')
+        self.site.add_replica(f'{service}-{self.replica_count}')
 
 
-KINDS = MappingProxyType(
+FAULTS = MappingProxyType(
     {
-        'lose_replica': Trouble.lose_replica,
-        'leave_replica': Trouble.leave_replica,
-        'freeze_replica': Trouble.freeze_replica,
-        'cut_replica': Trouble.cut_replica,
-        'crash_engine': Trouble.crash_engine,
-        'slow_engine': Trouble.slow_engine,
-        'lose_entry': Trouble.lose_entry,
-        'freeze_entry': Trouble.freeze_entry,
-        'fill_disk': Trouble.fill_disk,
-        'stop_platform': Trouble.stop_platform,
-        'slow_platform': Trouble.slow_platform,
-        'lose_answers': Trouble.lose_answers,
-        'lose_writes': Trouble.lose_writes,
-        'freeze_list': Trouble.freeze_list,
+        'lose_replica': FaultInjector.lose_replica,
+        'leave_replica': FaultInjector.leave_replica,
+        'freeze_replica': FaultInjector.freeze_replica,
+        'cut_replica': FaultInjector.isolate_replica,
+        'crash_engine': FaultInjector.crash_engine,
+        'slow_engine': FaultInjector.slow_engine,
+        'lose_entry': FaultInjector.lose_entry,
+        'freeze_entry': FaultInjector.freeze_entry,
+        'fill_disk': FaultInjector.fill_disk,
+        'stop_platform': FaultInjector.stop_platform,
+        'slow_platform': FaultInjector.slow_platform,
+        'lose_answers': FaultInjector.lose_answers,
+        'lose_writes': FaultInjector.lose_writes,
+        'freeze_list': FaultInjector.freeze_list,
     }
 )
 
@@ -178,8 +178,8 @@
 
 
 def _free_disk(folder: Any) -> None:
-    folder.__dict__.pop(APPEND)
+    folder.__dict__.pop(APPEND_METHOD)
 
 
-def _bring_back(site: StandInSite, name: str) -> None:
+def _restart_entry(site: StandInSite, name: str) -> None:
     site.add_entry(name)
--- a/tests/bench/test_engine.py
+++ b/tests/bench/test_engine.py
@@ -46,7 +46,9 @@
     return HttpCaller().call(engine.address, method, path, body).unwrap()
 
 
-def _ask(engine: StandInEngine, prompt: str, length: int, **headers) -> Any:
+def _complete(
+    engine: StandInEngine, prompt: str, length: int, **headers
+) -> Any:
     sent = {name.replace('_', '-'): text for name, text in headers.items()}
     called = HttpCaller().call(
         engine.address,
@@ -59,18 +61,18 @@
     return msgspec.json.decode(called.unwrap().body)
 
 
-def test_the_step_grows_with_the_batch_and_admission_is_first_come(
+def test_step_time_grows_with_the_batch_and_admission_is_in_order(
     engines,
 ) -> None:
     engine = engines()
     batcher = engine.batcher
     greenlets = [
-        gevent.spawn(_ask, engine, f'p{number}', 10) for number in range(6)
+        gevent.spawn(_complete, engine, f'p{number}', 10) for number in range(6)
     ]
     gevent.sleep(0.05)
-    came = [prompt for _identity, prompt in batcher.starts]
-    assert [sequence.prompt for sequence in batcher.running] == came[:4]
-    assert [sequence.prompt for sequence in batcher.waiting] == came[4:]
+    arrived = [prompt for _identity, prompt in batcher.starts]
+    assert [sequence.prompt for sequence in batcher.running] == arrived[:4]
+    assert [sequence.prompt for sequence in batcher.waiting] == arrived[4:]
     assert batcher._measure_step() == pytest.approx(0.013)
     gevent.joinall(greenlets)
 
@@ -85,7 +87,7 @@
     assert cache.use(prompt.split()) == 0
 
 
-def test_cache_events_come_late_and_with_gaps(engines, monkeypatch) -> None:
+def test_cache_events_are_delayed_and_incomplete(engines, monkeypatch) -> None:
     monkeypatch.setattr(engine_module, 'EVENT_LAG_SECONDS', 0.05)
     engine = engines(seed=4)
     engine.batcher.cache.events = [('stored', n) for n in range(400)]
@@ -98,21 +100,21 @@
     assert len(numbers) > 250
 
 
-def test_load_reports_lag(engines) -> None:
+def test_load_reports_are_delayed(engines) -> None:
     engine = engines()
     first = msgspec.json.decode(_call(engine, 'GET', '/v1/load').body)
-    asked = gevent.spawn(_ask, engine, 'a question', 20)
+    request = gevent.spawn(_complete, engine, 'a question', 20)
     gevent.sleep(0.05)
     lagging = msgspec.json.decode(_call(engine, 'GET', '/v1/load').body)
     assert engine.batcher.running
     assert lagging == first == {'running': 0, 'waiting': 0}
-    asked.get()
+    request.get()
 
 
-def test_a_kv_cache_moves_to_another_engine(engines) -> None:
+def test_kv_cache_is_transferred_to_another_engine(engines) -> None:
     first, second = engines(), engines()
-    asked = gevent.spawn(
-        _ask,
+    request = gevent.spawn(
+        _complete,
         first,
         'a long question',
         40,
@@ -120,7 +122,7 @@
     )
     gevent.sleep(0.15)
     _call(first, 'POST', '/v1/streams/s1/cancel')
-    asked.get()
+    request.get()
     exported = _call(first, 'GET', '/v1/kv/s1')
     assert exported.is_good
     content = msgspec.json.decode(exported.body)
@@ -146,14 +148,14 @@
     return order | changes
 
 
-def test_an_engine_that_checks_refuses_an_older_fencing_number(engines) -> None:
+def test_fencing_engine_refuses_an_older_fencing_number(engines) -> None:
     engine = engines(checks_fencing=True)
     assert _call(engine, 'POST', '/v1/orders', _order(5)).is_good
     assert _call(engine, 'POST', '/v1/orders', _order(4)).status == 409
     assert [order['fence'] for order in engine.state.orders] == [5]
 
 
-def test_an_engine_that_does_not_check_takes_any_order(engines) -> None:
+def test_engine_without_fencing_accepts_any_order(engines) -> None:
     engine = engines()
     for fence in (5, 4):
         assert _call(engine, 'POST', '/v1/orders', _order(fence)).is_good
@@ -168,16 +170,18 @@
     engine = engines()
     engine.orders.weights = (HttpCaller(), server.address)
     load = {'kind': 'load_model', 'model': 'n', 'version': '2'}
-    adapt = {'kind': 'load_adapter', 'adapter': 'a', 'version': '1'}
+    load_adapter = {'kind': 'load_adapter', 'adapter': 'a', 'version': '1'}
     sent = [
         gevent.spawn(_call, engine, 'POST', '/v1/orders', _order(1, **order))
-        for order in (load, adapt)
+        for order in (load, load_adapter)
     ]
     statuses = sorted(greenlet.get().status for greenlet in sent)
     assert statuses == [200, 503]
     assert store.most_in_hand == 1
     assert store.refused == 1
-    assert _call(engine, 'POST', '/v1/orders', _order(1, **adapt)).is_good
+    assert _call(
+        engine, 'POST', '/v1/orders', _order(1, **load_adapter)
+    ).is_good
     assert _call(engine, 'POST', '/v1/orders', _order(1, **load)).is_good
     assert engine.state.models == {MODEL: '1', 'n': '2'}
     assert engine.state.adapters == {'a'}
--- a/tests/bench/test_faultsoak.py
+++ b/tests/bench/test_faultsoak.py
@@ -7,15 +7,15 @@
 import pytest
 
 from wigeonpier.bench.faultsoak import run_fault_soak
-from wigeonpier.bench.replica import DeadlyRun, StandInReplica
+from wigeonpier.bench.replica import CrashingRun, StandInReplica
 from wigeonpier.bench.soakcallers import (
-    ITEMS,
+    ITEMS_PER_JOB,
     SoakAnswer,
     SoakJob,
     check_answer,
     check_job,
 )
-from wigeonpier.bench.soakcrashes import check_deadly, count_ends
+from wigeonpier.bench.soakcrashes import check_crashing_runs, count_crashes
 from wigeonpier.bench.store import StandInStore
 
 # Seeds that ever failed, each with a line on its cause.
@@ -26,7 +26,7 @@
     26,
 )
 # Of runs in which all processes were killed while the store was away.
-FORGETFUL_SEEDS = (
+LOST_VERDICT_SEEDS = (
     # A verdict was to be written with the next read of the board, up to 20 s
     # after the store's return, and was lost before; four more runs followed.
     204,
@@ -37,7 +37,7 @@
     420,
 )
 # Of runs in which accepted jobs never got their results.
-UNFINISHED_SEEDS = (
+UNFINISHED_JOB_SEEDS = (
     # The process beside an upstream sent items to an earlier start of it, all
     # of which were refused.
     5116,
@@ -48,19 +48,19 @@
 SHORT_SEED = 4
 SHORT_SECONDS = 5.0
 # How long the runs were that found something.
-FOUND_SECONDS = 8.0
+REGRESSION_SECONDS = 8.0
 BODY = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n'
 
 
 @pytest.mark.parametrize('seed', [SHORT_SEED, *REGRESSION_SEEDS])
-def test_nothing_is_broken_under_drawn_faults(seed: int, tmp_path) -> None:
+def test_invariants_hold_under_random_faults(seed: int, tmp_path) -> None:
     report = run_fault_soak(seed, SHORT_SECONDS, tmp_path)
     assert not report.broken
     assert report.jobs['accepted']
     assert report.questions['200']
 
 
-def test_nothing_is_broken_while_replicas_end(tmp_path) -> None:
+def test_invariants_hold_while_replicas_crash(tmp_path) -> None:
     """Some of them under requests that end whatever runs them."""
     report = run_fault_soak(
         SHORT_SEED,
@@ -69,11 +69,11 @@
         has_crashes=True,
     )
     assert not report.broken
-    assert report.ends
+    assert report.crashes
     assert report.questions['200']
 
 
-def test_nothing_is_broken_with_customers(tmp_path) -> None:
+def test_invariants_hold_with_customers(tmp_path) -> None:
     """Keys come and go, one customer asks far beyond its limit."""
     report = run_fault_soak(
         SHORT_SEED,
@@ -86,32 +86,36 @@
     assert report.questions['200']
 
 
-@pytest.mark.parametrize('seed', FORGETFUL_SEEDS)
-def test_what_all_processes_knew_is_not_lost_with_them(
+@pytest.mark.parametrize('seed', LOST_VERDICT_SEEDS)
+def test_verdicts_survive_a_kill_of_all_processes(
     seed: int,
     tmp_path,
 ) -> None:
-    report = run_fault_soak(seed, FOUND_SECONDS, tmp_path, has_crashes=True)
+    report = run_fault_soak(
+        seed, REGRESSION_SECONDS, tmp_path, has_crashes=True
+    )
     assert not report.broken
 
 
-@pytest.mark.parametrize('seed', UNFINISHED_SEEDS)
+@pytest.mark.parametrize('seed', UNFINISHED_JOB_SEEDS)
 def test_accepted_jobs_finish_while_replicas_crash(
     seed: int,
     tmp_path,
 ) -> None:
-    report = run_fault_soak(seed, FOUND_SECONDS, tmp_path, has_crashes=True)
+    report = run_fault_soak(
+        seed, REGRESSION_SECONDS, tmp_path, has_crashes=True
+    )
     assert not report.broken
 
 
-def test_runs_of_a_deadly_request_are_counted_by_the_stated_bound() -> None:
-    ends = [DeadlyRun('d', number, number + 0.1) for number in range(1, 4)]
-    soon = [DeadlyRun('d', 6.0) for _ in range(9)]
-    assert not check_deadly(ends + soon)
-    late = [DeadlyRun('d', 6.2 + number) for number in range(4)]
-    assert not check_deadly(ends + late[:3])
-    assert check_deadly(ends + late)
-    assert count_ends(ends + late) == [3]
+def test_runs_of_a_crashing_request_are_limited() -> None:
+    crashes = [CrashingRun('d', number, number + 0.1) for number in range(1, 4)]
+    early = [CrashingRun('d', 6.0) for _ in range(9)]
+    assert not check_crashing_runs(crashes + early)
+    late = [CrashingRun('d', 6.2 + number) for number in range(4)]
+    assert not check_crashing_runs(crashes + late[:3])
+    assert check_crashing_runs(crashes + late)
+    assert count_crashes(crashes + late) == [3]
 
 
 @pytest.mark.parametrize(
@@ -123,11 +127,11 @@
         ('/once/', 503, b'', 1),
     ],
 )
-def test_a_broken_answer_is_seen(path, status, body, runs) -> None:
+def test_invalid_answer_is_detected(path, status, body, runs) -> None:
     assert check_answer('q', SoakAnswer(path, status, body), 'a\nb', runs)
 
 
-def test_sound_answers_are_not_blamed() -> None:
+def test_valid_answer_is_accepted() -> None:
     assert not check_answer('q', SoakAnswer('/once/', 200, BODY), 'a\nb', 1)
     assert not check_answer('q', SoakAnswer('/once/', 503, b''), 'a\nb', 0)
     assert not check_answer('q', SoakAnswer('/once/', 0, b''), 'a\nb', 1)
@@ -135,22 +139,22 @@
 
 def build_job(replica: StandInReplica, statuses: list[int]) -> SoakJob:
     """Make a job with all its results."""
-    names = [f'j-{number}' for number in range(ITEMS)]
+    names = [f'j-{number}' for number in range(ITEMS_PER_JOB)]
     results = [
         {'id': name, 'output': replica.make_output(name)} for name in names
     ]
     return SoakJob('j', statuses, results)
 
 
-def test_broken_jobs_are_seen_and_sound_ones_are_not() -> None:
+def test_invalid_jobs_are_detected_and_valid_ones_accepted() -> None:
     replica = StandInReplica('i', 's', StandInStore())
     none: Counter[str] = Counter()
     assert not check_job(build_job(replica, [202]), replica, none)
     missing = build_job(replica, [202])
     missing.results.pop()
-    spoilt = build_job(replica, [202])
-    spoilt.results[0]['output'] = 'x'
-    for job in (missing, spoilt):
+    altered = build_job(replica, [202])
+    altered.results[0]['output'] = 'x'
+    for job in (missing, altered):
         assert check_job(job, replica, none)
     refused = build_job(replica, [503, 429])
     assert check_job(refused, replica, Counter({'j-0': 1}))
--- a/tests/bench/test_replica.py
+++ b/tests/bench/test_replica.py
@@ -11,7 +11,7 @@
 from wigeonpier.web.pool import ConnectionPool, Listening
 
 
-def test_a_deadly_request_ends_a_replica_that_comes_back() -> None:
+def test_crashing_request_crashes_a_replica_that_restarts() -> None:
     """All that it runs ends with it, and its address refuses meanwhile."""
     replica = StandInReplica('i', 's', StandInStore(), event_seconds=0.05)
     replica.restart_seconds = 0.3
@@ -25,8 +25,8 @@
         5,
     )
     gevent.sleep(0.1)
-    deadly = make_request('POST', '/b', headers, DEADLY_MARK)
-    assert pool.call(address, deadly, 5).is_err()
+    crashing = make_request('POST', '/b', headers, DEADLY_MARK)
+    assert pool.call(address, crashing, 5).is_err()
     assert other.get().is_err()
     assert pool.find_listener(address, 1) is Listening.refused
     wait_for(lambda: replica.is_up, 'it is back')
