--- a/src/wigeonpier/bench/faultsoak.py
+++ b/src/wigeonpier/bench/faultsoak.py
@@ -1,7 +1,8 @@
-"""A randomised soak of the hosted daemons as processes, harmed from outside.
+"""Randomised soak test of the hosted daemons as separate processes.
 
-What it checks is seen by callers and upstreams only.  The in-process `soak`
-does the same for the product's own interface, inside one process.
+Faults are injected from outside the processes, and the checks use only what
+callers and upstreams observe.  The module `soak` tests the product's own
+interface in the same way, inside one process.
 """
 
 from __future__ import annotations
@@ -29,29 +30,29 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-# A process starts in about 0.4 s of a core.
+# Starting a process takes about 0.4 s of CPU time.
 READY_SECONDS = 90.0
 HEAL_SECONDS = 20.0
-# Jobs have this long to end once nothing is harmed any more.
+# Time for jobs to finish after the last fault has been removed.
 FINISH_SECONDS = 40.0
 GAP_SECONDS = (0.3, 1.2)
 STEP_SECONDS = 0.05
-# Other parts of a run draw with the seed and those next to it.
+# Offset to the seed; the other parts of a run use offsets 0 to 2.
 KEYS_SEED = 3
-# Of the processes that are neither storage nor needed beside a replica.
+# Share of entries among the processes that are not storage.
 ENTRY_SHARE = 0.4
 
 
 class FaultSoakReport(msgspec.Struct):
-    """What a run came to.
-
-    :param seed: draws faults and load.
-    :param processes: daemons that ran.
-    :param faults: how often each one was done.
-    :param questions: answers by status, 0 for none.
-    :param jobs: by whether they were accepted.
-    :param ends: replicas that ended under each deadly request.
-    :param broken: each broken promise in words.
+    """Outcome of a run.
+
+    :param seed: seed of faults and load.
+    :param processes: number of daemons.
+    :param faults: number of injected faults by name.
+    :param questions: answers to online requests by status, 0 for no answer.
+    :param jobs: number of accepted and of other jobs.
+    :param ends: number of replica crashes under each crashing request.
+    :param broken: description of each violated invariant.
     """
 
     seed: int
@@ -64,7 +65,7 @@
 
     @property
     def is_good(self) -> bool:
-        """Tell whether no promise was broken."""
+        """Return whether no invariant was violated."""
         return not self.broken
 
 
@@ -72,12 +73,12 @@
 class FaultSoak:
     """One run.
 
-    :param seed: draws faults and load.
-    :param seconds: how long faults go on.
-    :param site: what is harmed.
-    :param has_crashes: whether replicas end as well, some of them under
-        requests that end whatever runs them.
-    :param has_keys: whether there are customers with keys and limits.
+    :param seed: seed of faults and load.
+    :param seconds: duration of the fault phase.
+    :param site: site under test.
+    :param has_crashes: whether replicas crash as well, some of them under
+        requests that crash every replica that runs them.
+    :param has_keys: whether customers with keys and limits exist.
     """
 
     seed: int
@@ -87,9 +88,9 @@
     has_keys: bool = False
 
     def run(self) -> FaultSoakReport:
-        """Run and check.
+        """Run the soak and check the invariants.
 
-        :returns: what was done, and each broken promise in words.
+        :returns: the report.
         """
         self.site.start()
         callers = SoakCallers(self.site.entries, random.Random(self.seed + 1))
@@ -166,12 +167,12 @@
 ) -> FaultSoakReport:
     """Run one soak.
 
-    :param seed: draws faults and load.
-    :param seconds: how long faults go on.
-    :param folder: for settings, logs and disks.
-    :param processes: about how many daemons to start, 0 for a small site.
-    :param has_crashes: whether replicas end as well.
-    :param has_keys: whether there are customers with keys and limits.
+    :param seed: seed of faults and load.
+    :param seconds: duration of the fault phase.
+    :param folder: folder for settings, logs and disks.
+    :param processes: approximate number of daemons, 0 for a small site.
+    :param has_crashes: whether replicas crash as well.
+    :param has_keys: whether customers with keys and limits exist.
     :returns: the report.
     """
     folder.mkdir(parents=True, exist_ok=True)
@@ -196,5 +197,5 @@
     deadline = time.monotonic() + READY_SECONDS
     while not callers.is_ready():
         if time.monotonic() > deadline:
-            raise TimeoutError('the daemons never became ready')
+            raise TimeoutError(f'the daemons were not ready within {READY_SECONDS:g} s')
         gevent.sleep(STEP_SECONDS)
--- a/src/wigeonpier/bench/soakcallers.py
+++ b/src/wigeonpier/bench/soakcallers.py
@@ -1,4 +1,4 @@
-"""Callers of the fault soak: they use the daemons and check what they see."""
+"""Callers of the fault soak, which send load and check the answers."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 ITEMS_PER_JOB = 5
 OK = 200
 ACCEPTED = 202
-# These say that nothing has run, nor ever will.
+# Statuses which state that the request did not run and will not run.
 NOT_RUN = frozenset((408, 421, 429, 503))
 MAX_SUBMISSIONS = 2
 SHARED_BODY_INTERVAL = 5
-# Requests under this path may run once at most.
+# Requests under this path run at most once.
 RUN_ONCE_PREFIX = '/once/'
 
 
 @dataclass(frozen=True, slots=True)
 class SoakAnswer:
-    """What a caller got for a question.
+    """Answer to an online request.
 
-    :param path: path that was asked.
-    :param status: its status, 0 for no answer.
-    :param body: its bytes.
+    :param path: path of the request.
+    :param status: status, 0 for no answer.
+    :param body: body of the answer.
     """
 
     path: str
@@ -60,10 +60,10 @@
 
 @dataclass(slots=True)
 class SoakJob:
-    """One job as its caller knows it.
+    """One job from the view of its caller.
 
-    :param name: its id.
-    :param statuses: answers to each time it was handed in, 0 for none.
+    :param name: id of the job.
+    :param statuses: status of each submission, 0 for no answer.
     :param results: results by position, as first read.
     """
 
@@ -73,21 +73,21 @@
 
     @property
     def is_accepted(self) -> bool:
-        """Tell whether the system has to keep it."""
+        """Return whether a submission was accepted."""
         return ACCEPTED in self.statuses
 
 
 class SoakCallers:
-    """Asks, hands jobs in and reads them, at any entry."""
+    """Sends requests, submits jobs and reads results at random entries."""
 
     def __init__(
         self,
         entries: list[HostedProcess],
         rng: random.Random,
     ) -> None:
-        """Call the entries once started."""
+        """Create callers of the entries; they do nothing until `start`."""
         self.jobs: list[SoakJob] = []
-        # Key of a customer, empty where nobody needs one.
+        # Key of the customer, empty where keys are not required.
         self.key = ''
         self._entries = entries
         self._rng = rng
@@ -99,14 +99,14 @@
         self._greenlets: list[gevent.Greenlet[..., None]] = []
 
     def is_ready(self) -> bool:
-        """Tell whether each entry serves."""
+        """Return whether each entry answers requests."""
         return all(
             self._send('/ask/ready', f'ready{number}', entry) == OK
             for number, entry in enumerate(self._entries)
         )
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start sending load."""
         self._greenlets = [
             gevent.spawn(self._send_requests),
             gevent.spawn(self._submit_jobs),
@@ -114,9 +114,9 @@
         ]
 
     def finish(self, seconds: float) -> None:
-        """Ask for nothing new, and read until all jobs have ended.
+        """Stop sending new load and read results until all jobs have ended.
 
-        :param seconds: longest wait.
+        :param seconds: maximum wait.
         """
         self._is_stopped = True
         gevent.joinall(self._greenlets[:2])
@@ -126,10 +126,10 @@
         gevent.killall(self._greenlets)
 
     def find_violations(self, replicas: list[StandInReplica]) -> list[str]:
-        """Find what callers and upstreams saw that must never be.
+        """Check the observations of callers and upstreams.
 
-        :param replicas: upstreams, which count their runs.
-        :returns: each broken promise in words.
+        :param replicas: upstreams, which count the runs of each request.
+        :returns: description of each violated invariant.
         """
         runs: Counter[str] = Counter()
         for replica in replicas:
@@ -147,22 +147,22 @@
         return self._violations + list(chain.from_iterable(found))
 
     def count_outcomes(self) -> dict[str, int]:
-        """Count answers to questions by status, 0 for none."""
+        """Count answers to online requests by status, 0 for no answer."""
         statuses = (answer.status for answer in self._outcomes.values())
         return {
             str(status): count for status, count in Counter(statuses).items()
         }
 
     def count_jobs(self) -> dict[str, int]:
-        """Count jobs by whether they were accepted."""
+        """Count accepted and other jobs."""
         accepted = len([job for job in self.jobs if job.is_accepted])
         return {'accepted': accepted, 'not': len(self.jobs) - accepted}
 
     def send_crashing(self, path: str, body: bytes) -> int:
-        """Ask for what ends replicas, at any entry.
+        """Send a request that crashes replicas to a random entry.
 
-        :param path: where to.
-        :param body: what ends them.
+        :param path: path of the request.
+        :param body: body that triggers the crash.
         :returns: the status, 0 for no answer.
         """
         self._crashing_count += 1
@@ -172,10 +172,10 @@
         return reply.status if reply else 0
 
     def send_with_key(self, key: str, path: str, name: str) -> None:
-        """Ask with a key, at any entry; the answer is not checked.
+        """Send a request with a key to a random entry and ignore the answer.
 
-        :param key: the key.
-        :param path: where to.
+        :param key: key of a customer.
+        :param path: path of the request.
         :param name: id of the request.
         """
         entry = self._rng.choice(self._entries)
@@ -194,7 +194,7 @@
         gevent.joinall(sending)
 
     def _send(self, path: str, name: str, entry: HostedProcess) -> int:
-        # Most ask for something of their own, some for the same as others.
+        # Most requests have a body of their own; the others share one body.
         is_shared = not len(self._outcomes) % SHARED_BODY_INTERVAL
         body = b'' if is_shared else name.encode()
         reply = self._call(entry, 'POST', path, name, body)
@@ -244,7 +244,7 @@
         common = min(len(results), len(job.results))
         if results[:common] != job.results[:common]:
             self._violations.append(
-                f'{job.name}: a position holds another result'
+                f'{job.name}: the result at a position has changed'
             )
         if len(results) > len(job.results):
             job.results = results
@@ -281,13 +281,13 @@
     expected: str,
     runs: int,
 ) -> list[str]:
-    """Check one answer to a question.
+    """Check one answer to an online request.
 
-    :param name: id of the question.
-    :param answer: what its caller got.
-    :param expected: the whole text.
-    :param runs: how often upstreams ran it.
-    :returns: each broken promise in words.
+    :param name: id of the request.
+    :param answer: answer that the caller received.
+    :param expected: complete text.
+    :param runs: number of runs on upstreams.
+    :returns: description of each violated invariant.
     """
     violations = []
     texts = [
@@ -296,14 +296,14 @@
         if line.startswith('data: ')
     ]
     if answer.status == OK and texts != expected.split('\n'):
-        violations.append(f'{name}: an answer is not whole')
+        violations.append(f'{name}: the answer is incomplete or wrong')
     if ErrorKind.ends_upstreams.value.encode() in answer.body:
-        violations.append(f'{name}: turned away for what another one did')
+        violations.append(f'{name}: refused for a crash that it did not cause')
     if answer.path.startswith(RUN_ONCE_PREFIX):
         if runs > 1:
             violations.append(f'{name}: ran {runs} times')
         if answer.status in NOT_RUN and runs:
-            violations.append(f'{name}: refused and ran')
+            violations.append(f'{name}: refused although it ran')
     return violations
 
 
@@ -312,17 +312,17 @@
     replica: StandInReplica,
     runs: Counter[str],
 ) -> list[str]:
-    """Check one job at the end.
+    """Check one job after the run.
 
-    :param job: what its caller knows.
-    :param replica: makes the whole texts.
-    :param runs: how often upstreams ran each item.
-    :returns: each broken promise in words.
+    :param job: job from the view of its caller.
+    :param replica: replica that makes the expected texts.
+    :param runs: number of runs of each item on upstreams.
+    :returns: description of each violated invariant.
     """
     names = [f'{job.name}-{number}' for number in range(ITEMS_PER_JOB)]
     is_refused = set(job.statuses) <= NOT_RUN
     if is_refused and any(runs[name] for name in names):
-        return [f'{job.name}: refused each time and ran']
+        return [f'{job.name}: refused each time although an item ran']
     if not job.is_accepted:
         return []
     if sorted(found['id'] for found in job.results) != names:
@@ -330,7 +330,7 @@
             f'{job.name}: has {len(job.results)} results of {ITEMS_PER_JOB}'
         ]
     return [
-        f'{found["id"]}: not its whole text'
+        f'{found["id"]}: the text is incomplete or wrong'
         for found in job.results
         if found['output'] != replica.make_output(found['id'])
     ]
--- a/src/wigeonpier/bench/soakcrashes.py
+++ b/src/wigeonpier/bench/soakcrashes.py
@@ -1,4 +1,7 @@
-"""Replicas that end in the fault soak: under a request, alone, in a release."""
+"""Replica crashes and restarts in the fault soak.
+
+A replica crashes under a request or on its own, or restarts in a release.
+"""
 
 from __future__ import annotations
 
@@ -27,10 +30,10 @@
 CRASHING_PATHS = ('/ask/deadly', '/ask/deadly', '/once/deadly')
 RETRY_SECONDS = 0.2
 PAUSE_SECONDS = (0.3, 1.5)
-# A caller does not come back at once after these.
+# A caller does not retry at once after these.
 FINAL_STATUSES = frozenset((200, 400))
-# The stated bound: how long after the third end the news may take, and how
-# often the request may reach a replica after that.
+# Stated bound: time after the third crash until all processes know of it, and
+# number of runs of the request after that.
 CONFIRMING_CRASHES = 3
 PROPAGATION_SECONDS = 3.0
 MAX_LATE_RUNS = 3
@@ -38,12 +41,13 @@
 
 @dataclass
 class SoakCrashes:
-    """Ends replicas, and comes back with requests that do.
+    """Crashes replicas, and sends requests that crash them repeatedly.
 
-    :param site: what is harmed.
-    :param callers: ask for something else meanwhile.
-    :param rng: chooses what and when.
-    :param crashing_count: requests that end replicas so far.
+    :param site: site under test.
+    :param callers: callers that send the crashing requests.
+    :param rng: chooses faults and times.
+    :param crashing_count: number of different crashing requests.
+    :param counts: number of injected faults by name.
     """
 
     site: SoakSite
@@ -54,9 +58,9 @@
     _callers: list[gevent.Greenlet[..., None]] = field(default_factory=list)
 
     def run(self, seconds: float) -> None:
-        """Do harm until the time is up.
+        """Inject faults.
 
-        :param seconds: how long.
+        :param seconds: duration.
         """
         deadline = time.monotonic() + seconds
         faults: tuple[tuple[str, Callable[[], object]], ...] = (
@@ -64,7 +68,7 @@
             ('replica ended', self._crash_replica),
             ('replica released', self._release_replica),
         )
-        # One comes at once, so that no run is without any.
+        # Starts at once, so that each run has a crashing request.
         self._start_crashing(deadline)
         while time.monotonic() < deadline:
             gevent.sleep(self.rng.uniform(*GAP_SECONDS))
@@ -84,7 +88,7 @@
         )
 
     def _repeat_request(self, path: str, body: bytes, deadline: float) -> None:
-        """Come twice, pause, and come again, at any entry."""
+        """Send the request, retry it once, pause, and start over."""
         while time.monotonic() < deadline:
             status = self.callers.send_crashing(path, body)
             if status not in FINAL_STATUSES:
@@ -103,23 +107,23 @@
 
 
 def _release_gracefully(replica: StandInReplica) -> None:
-    """Replace a replica by one of the same version, as in a rolling restart."""
+    """Drain and restart a replica, as a rolling restart does."""
     if not replica.is_up or replica.is_leaving:
         return
     name = replica.name
     replica.announce(is_leaving=True)
     gevent.sleep(DRAIN_SECONDS)
-    # It may have ended by itself meanwhile.
+    # It may have crashed in the meantime.
     if replica.name == name:
         replica.end()
     replica.is_leaving = False
 
 
 def check_crashing_runs(runs: Iterable[CrashingRun]) -> list[str]:
-    """Check how often requests that end replicas reached them.
+    """Check how often crashing requests ran after they were identified.
 
-    :param runs: their runs at all replicas.
-    :returns: each broken promise in words.
+    :param runs: their runs on all replicas.
+    :returns: description of each violated invariant.
     """
     violations = []
     for fingerprint, request_runs in _group_runs(runs).items():
@@ -132,16 +136,16 @@
         late = [run for run in request_runs if run.started_at > known_at]
         if len(late) > MAX_LATE_RUNS:
             violations.append(
-                f'{fingerprint}: {len(late)} runs after {len(crash_times)} ends',
+                f'{fingerprint}: {len(late)} runs after {len(crash_times)} crashes',
             )
     return violations
 
 
 def count_crashes(runs: Iterable[CrashingRun]) -> list[int]:
-    """Count the replicas that ended under each deadly request.
+    """Count the replica crashes under each crashing request.
 
-    :param runs: their runs at all replicas.
-    :returns: a count for each request, largest first.
+    :param runs: their runs on all replicas.
+    :returns: number of crashes of each request, largest first.
     """
     return sorted(
         (
--- a/src/wigeonpier/bench/soakfaults.py
+++ b/src/wigeonpier/bench/soakfaults.py
@@ -1,4 +1,4 @@
-"""Faults of the fault soak, drawn by name."""
+"""Faults that the fault soak injects, by name."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 @dataclass
 class SoakFaults:
-    """Harms a site from outside its processes.
+    """Injects faults into a site from outside its processes.
 
-    :param site: what is harmed.
-    :param rng: chooses what and for how long.
-    :param has_wiped_disk: whether a disk was lost already.
+    :param site: site under test.
+    :param rng: chooses targets and durations.
+    :param has_wiped_disk: whether a disk was wiped already.
     """
 
     site: SoakSite
@@ -45,7 +45,7 @@
     def list_faults(self) -> list[Fault]:
         """List all faults.
 
-        :returns: names, and what does them once.
+        :returns: name and function that injects the fault once.
         """
         return [
             *self._list_process_faults(),
@@ -117,7 +117,7 @@
         gevent.joinall(restarts)
 
     def _wipe_disk(self) -> None:
-        """Lose a disk, once a run: so much may be lost at a time."""
+        """Wipe one disk per run, as the site tolerates the loss of one disk."""
         if self.has_wiped_disk:
             return
         self.has_wiped_disk = True
@@ -157,14 +157,14 @@
 
 
 def _reload(process: HostedProcess) -> None:
-    """Send SIGHUP; one that has not started yet is ended by it."""
+    """Send SIGHUP; it terminates a process that is still starting."""
     process.send(signal.SIGHUP)
     gevent.sleep(RESTART_SECONDS)
     _start(process)
 
 
 def _start(process: HostedProcess) -> None:
-    """Start a process unless another fault's restart was faster."""
+    """Start a process unless another fault has already restarted it."""
     if not process.is_running:
         process.start()
 
--- a/src/wigeonpier/bench/soakkeys.py
+++ b/src/wigeonpier/bench/soakkeys.py
@@ -1,4 +1,4 @@
-"""Customers in the fault soak: keys that come and go, and limits."""
+"""Customers of the fault soak: key rotation and rate limits."""
 
 from __future__ import annotations
 
@@ -33,24 +33,24 @@
 BURST_GAP_SECONDS = 0.03
 BURST_SECONDS = (1.0, 3.0)
 PAUSE_SECONDS = (0.5, 2.0)
-# Longer than the bound, so that keys end meanwhile.
+# Longer than REVOKE_SECONDS, so that cached keys expire meanwhile.
 ISOLATION_SECONDS = 5.0
 STEP_SECONDS = 0.1
-# The bounds of the settings of the daemons.
+# Bounds from the settings of the daemons (`processes.SETTINGS_TEMPLATE`).
 REVOKE_SECONDS = 3.0
 WINDOW_SECONDS = 5.0
 QUOTA_SLACK = 10
 QUOTA_OVERAGE = 0.1
-# No configuration has what these answers say of a calm customer.
+# Statuses that the customer below its limit must never receive.
 UNEXPECTED_STATUSES = frozenset((401, 403, 404, 429))
 
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request as its caller sent it.
+    """A request that a caller sent.
 
-    :param key: the key that it bore.
-    :param sent_at: when, seconds of the steady clock.
+    :param key: key of the request.
+    :param sent_at: seconds of the monotonic clock.
     """
 
     key: str
@@ -59,13 +59,15 @@
 
 @dataclass
 class SoakKeys:
-    """Takes keys away and adds others, and asks with all of them.
+    """Rotates keys, and sends requests with current, old and unknown keys.
 
-    :param site: its configuration is changed.
-    :param callers: ask.
-    :param rng: chooses what and when.
+    :param site: site whose configuration is changed.
+    :param callers: callers that send the requests.
+    :param rng: chooses keys and times.
     :param sent: requests by id.
-    :param revoked_at: when the end of each key was confirmed.
+    :param revoked_at: time of the confirmed revocation by key, seconds of the
+        monotonic clock.
+    :param counts: number of injected events by name.
     """
 
     site: SoakSite
@@ -77,7 +79,7 @@
     _rotations: int = 0
 
     def prepare(self) -> None:
-        """Put the customers into the configuration."""
+        """Add the customers to the configuration."""
         self.callers.key = CALM_KEY
         self.site.customers = {
             CALM_KEY: CALM,
@@ -87,9 +89,9 @@
         self.site.configure()
 
     def run(self, seconds: float) -> None:
-        """Ask and change keys until the time is up.
+        """Send requests and rotate keys.
 
-        :param seconds: how long.
+        :param seconds: duration.
         """
         loops = [
             gevent.spawn(loop, time.monotonic() + seconds)
@@ -103,10 +105,10 @@
         gevent.joinall(loops)
 
     def find_violations(self, runs: Iterable[ReceivedRequest]) -> list[str]:
-        """Find what upstreams and callers saw that must never be.
+        """Check the observations of upstreams and callers.
 
         :param runs: requests that upstreams ran.
-        :returns: each broken promise in words.
+        :returns: description of each violated invariant.
         """
         received = list(runs)
         violations = [
@@ -115,28 +117,28 @@
         violations += check_windows(self._list_hot(received))
         calm = self.callers.count_outcomes()
         violations += [
-            f'{count} answers of {status} to a calm customer'
+            f'{count} answers of {status} to a customer below its limit'
             for status, count in calm.items()
             if int(status) in UNEXPECTED_STATUSES
         ]
         return violations
 
     def _check_run(self, run: ReceivedRequest) -> str:
-        """Check one run; empty where nothing is wrong."""
+        """Describe what is wrong with a run, empty for nothing."""
         header_text = ' '.join(run.headers.values())
         if 'soak-key-' in header_text:
-            return f'{run.identity}: a key was passed on'
+            return f'{run.identity}: the key was forwarded to the upstream'
         name = run.headers.get(wire.CUSTOMER.lower(), '')
         sent = self.sent.get(run.identity)
         if sent is None:
             is_right = name == CALM.name
             return '' if is_right else f'{run.identity}: run as {name!r}'
         if sent.key == UNKNOWN_KEY:
-            return f'{run.identity}: run with a key that nobody has'
+            return f'{run.identity}: run with an unknown key'
         key_revoked_at = self.revoked_at.get(sent.key)
         if key_revoked_at and sent.sent_at > key_revoked_at + REVOKE_SECONDS:
             late = sent.sent_at - key_revoked_at
-            return f'{run.identity}: run {late:.1f} s after its key had ended'
+            return f'{run.identity}: run {late:.1f} s after its key was revoked'
         expected = HOT.name if sent.key == HOT_KEY else ROTATING.name
         return '' if name == expected else f'{run.identity}: run as {name!r}'
 
@@ -144,7 +146,7 @@
         self,
         runs: list[ReceivedRequest],
     ) -> list[tuple[float, float]]:
-        """List when requests of the hot customer were sent, and ran first."""
+        """List send time and first run of each request of the hot customer."""
         first: dict[str, float] = {}
         for run in runs:
             sent = self.sent.get(run.identity)
@@ -188,7 +190,7 @@
             gevent.sleep(self.rng.uniform(*PAUSE_SECONDS))
 
     def _isolate_all(self, deadline: float) -> None:
-        """Cut all processes off from the store for longer than keys count."""
+        """Cut all processes off from the store until cached keys expire."""
         gevent.sleep(self.rng.uniform(*PAUSE_SECONDS))
         if deadline - time.monotonic() < ISOLATION_SECONDS:
             return
@@ -211,10 +213,11 @@
 
 
 def check_windows(runs: list[tuple[float, float]]) -> list[str]:
-    """Check a customer's requests against its limit in any span.
+    """Check a customer's requests against its limit in every window.
 
-    :param runs: when each was sent, and when it ran first, in order.
-    :returns: each broken promise in words.
+    :param runs: send time and time of the first run of each request, in order
+        of sending, seconds of the monotonic clock.
+    :returns: description of the first violation, if any.
     """
     limit = (HOT.rate * WINDOW_SECONDS + HOT.burst) * (
         1 + QUOTA_OVERAGE
@@ -224,5 +227,5 @@
         end = begin + WINDOW_SECONDS
         count = sum(sent >= begin and ran <= end for sent, ran in runs)
         if count > limit:
-            violations.append(f'{count} requests of a customer ran in a span')
+            violations.append(f'{count} requests of a customer ran in a window')
     return violations[:1]
--- a/src/wigeonpier/bench/soaksite.py
+++ b/src/wigeonpier/bench/soaksite.py
@@ -1,4 +1,4 @@
-"""The site of the fault soak: real daemons before stand-ins, by processes."""
+"""Site of the fault soak: daemons as processes, stand-ins for the rest."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 
 DISKS = 3
 FIRST_VM_NUMBER = 2
-# An answer takes 0.4 s, so that faults meet it midway.
+# An answer takes 0.4 s, so that faults hit it while it is streamed.
 EVENTS = 20
 EVENT_SECONDS = 0.02
 TIMEOUT_SECONDS = 5.0
 OBJECTIVE_SECONDS = 0.3
 RUN_SECONDS = 18.0
-# No item may be given up for its age while faults go on.
+# Longer than a run, so that no item expires while faults are injected.
 RETENTION_SECONDS = 120.0
 
 
 @dataclass(frozen=True, slots=True)
 class SoakSize:
-    """How many there are of what.
+    """Size of a site.
 
-    :param entries: entries.
-    :param replicas: replicas, each with a worker beside it.
+    :param entries: number of entries.
+    :param replicas: number of replicas, each with its own worker.
     """
 
     entries: int = 2
@@ -58,16 +58,17 @@
 class SoakSite:
     """Processes and stand-ins of one run.
 
-    :param folder: settings, logs and disks.
-    :param size: how many there are.
-    :param store: stand-in of the store; each process has its own way to it.
+    :param folder: folder for settings, logs and disks.
+    :param size: number of processes.
+    :param store: stand-in of the store; each process reaches it through its
+        own proxy.
     :param replicas: stand-ins of replicas.
-    :param proxies: the way to each replica, for all that call it.
+    :param proxies: proxy in front of each replica, used by all callers.
     :param processes: the daemons.
-    :param peers: port of all VMs for other processes of the system.
-    :param version: newest configuration.
-    :param start_count: starts of replicas so far.
-    :param customers: by key, ``None`` where nobody needs one.
+    :param peers: port for other processes of the system, same on all VMs.
+    :param version: version of the newest configuration.
+    :param start_count: number of replica starts.
+    :param customers: customers by key, ``None`` where keys are not required.
     """
 
     folder: Path
@@ -84,11 +85,11 @@
 
     @property
     def entries(self) -> list[HostedProcess]:
-        """Give the entries."""
+        """List the entry processes."""
         return [one for one in self.processes if one.role == 'entry']
 
     def start(self) -> None:
-        """Start everything; it is not ready yet."""
+        """Start all processes without waiting until they are ready."""
         self._store_address = self.store.start()
         self.configure()
         for number in range(self.size.replicas):
@@ -101,7 +102,7 @@
             process.start()
 
     def stop(self) -> None:
-        """End everything that this run started."""
+        """Stop everything that this run started."""
         for process in self.processes:
             process.kill()
             process.store.stop()
@@ -112,7 +113,7 @@
         self.store.stop()
 
     def heal(self) -> None:
-        """End all harm, and start what is down."""
+        """Remove all faults and resume paused processes."""
         self.store.faults.is_down = False
         self.store.faults.lost_writes = 0
         for proxy in self.proxies:
@@ -125,7 +126,7 @@
             replica.faults.turn_away = 0
 
     def start_missing(self) -> None:
-        """Start each process that is down."""
+        """Start each process that is not running."""
         for process in self.processes:
             if not process.is_running:
                 process.start()
@@ -133,19 +134,19 @@
     def list_received(self) -> list[ReceivedRequest]:
         """List the requests that replicas ran.
 
-        :returns: those at all replicas.
+        :returns: requests of all replicas.
         """
         return [run for one in self.replicas for run in one.received]
 
     def list_crashing_runs(self) -> list[CrashingRun]:
-        """List the runs of requests that end replicas.
+        """List the runs of requests that crash replicas.
 
-        :returns: those at all replicas.
+        :returns: runs on all replicas.
         """
         return [run for one in self.replicas for run in one.crashing_runs]
 
     def configure(self) -> None:
-        """Write the configuration as the operator does."""
+        """Write the configuration in the way the operator does."""
         routes = (
             _make_route(RouteKind.stream, '/ask/', tries=2),
             _make_route(RouteKind.stream, '/once/', tries=1),
@@ -160,7 +161,7 @@
         self.store.put(CONFIGURATION_KEY, encode_configuration(configuration))
 
     def restart_replica(self, replica: StandInReplica) -> None:
-        """Give a replica a new id, as each start does.
+        """Register a replica under a new id, as each start does.
 
         :param replica: the replica.
         """
@@ -180,7 +181,7 @@
             events=EVENTS,
             event_seconds=EVENT_SECONDS,
         )
-        # The process beside an upstream is found at the upstream's VM.
+        # A worker is addressed at the VM of its upstream.
         vm = FIRST_VM_NUMBER + number
         ip = f'127.0.0.{vm}'
         replica.start(DATA_CENTRE, ip)
@@ -207,7 +208,7 @@
             upstream,
             SERVICE,
             ip,
-            # Storage shares the address of the entries, and needs its own.
+            # Storage has the same IP as the entries, so it needs its own port.
             0 if role == 'storage' else self.peers,
         )
         process.prepare()
