--- a/src/wigeonpier/bench/processes.py
+++ b/src/wigeonpier/bench/processes.py
@@ -1,4 +1,4 @@
-"""Hosted daemons as processes of their own, and signals to them."""
+"""Runs hosted daemons as separate processes and sends signals to them."""
 
 from __future__ import annotations
 
@@ -51,25 +51,25 @@
 BLOCK_COUNT = 20
 BLOCK_PORTS = 1000
 PORT_NAMES = ('metrics', 'peers', 'callers', 'readiness')
-# Ports that this process has looked at.
+# Offsets within the block of the ports probed so far.
 _port_offsets = count()
-# The lock on its block, held until it ends.
+# Lock on the block of this process, held until the process exits.
 _locks: list[IO[bytes]] = []
 
 
 @dataclass(slots=True)
 class HostedProcess:
-    """One daemon that can be stopped, paused, killed and started again.
+    """One daemon that can be stopped, paused, killed and restarted.
 
-    :param role: what it runs as.
+    :param role: role of the daemon.
     :param name: name of its VM.
     :param folder: folder for its settings, log and disk.
-    :param store: its own way to the store.
-    :param upstream: address of its upstream, or empty.
+    :param store: proxy through which it reaches the store.
+    :param upstream: address of its upstream, empty for none.
     :param service: service of the upstream.
     :param ip: address of its VM.
     :param peers: port for other processes of the system, 0 for a free one.
-    :param callers: its address for callers.
+    :param callers: address that it serves callers on.
     """
 
     role: str
@@ -101,7 +101,7 @@
         self._settings.write_text(text, encoding='utf-8')
 
     def start(self) -> None:
-        """Start it; its log is added to."""
+        """Start the process and append to its log."""
         with self.log.open('ab') as log:
             self._child = subprocess.Popen(
                 (
@@ -118,21 +118,21 @@
 
     @property
     def disk(self) -> Path:
-        """Give the folder of its disk."""
+        """Return the folder of its disk."""
         return self.folder / f'{self.name}.disk'
 
     @property
     def log(self) -> Path:
-        """Give the file of its log."""
+        """Return the path of its log."""
         return self.folder / f'{self.name}.log'
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process is there."""
+        """Return whether the process is running."""
         return self._child is not None and self._child.poll() is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, by its id.
+        """Send a signal to the process if it is running.
 
         :param number: the signal.
         """
@@ -140,7 +140,7 @@
             os.kill(self._child.pid, number)
 
     def kill(self) -> None:
-        """End the process at once and wait for its end."""
+        """Kill the process and wait until it has exited."""
         if self._child is not None:
             self.send(signal.SIGCONT)
             self._child.kill()
@@ -154,12 +154,12 @@
 def take_port() -> int:
     """Find a port that is free on every address of this machine.
 
-    It lies below those that the kernel gives to connections, one of which
-    could have it by the time that it is used.  Runs beside each other take
-    theirs from blocks of their own, each port once in a round.
+    The port lies below the ephemeral range of the kernel, so that no outgoing
+    connection can take it before it is used.  Concurrent runs use separate
+    blocks of ports, and each port of a block is tried once per round.
 
     :returns: the port.
-    :raises OSError: where none of the block is free, or no block is.
+    :raises OSError: if no port of the block or no block is free.
     """
     first = FIRST_PORT + _claim_block() * BLOCK_PORTS
     for _ in range(BLOCK_PORTS):
@@ -171,7 +171,7 @@
 
 
 def _claim_block() -> int:
-    """Claim a block of ports that no other process of this machine has."""
+    """Lock a block of ports that no other process of this machine uses."""
     if _locks:
         return int(Path(_locks[0].name).suffix[1:])
     for block in range(BLOCK_COUNT):
--- a/src/wigeonpier/bench/proxy.py
+++ b/src/wigeonpier/bench/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms connections from outside of both ends."""
+"""Loopback TCP proxy that injects network faults into connections."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 READ_BYTES = 65_536
 CHECK_SECONDS = 0.02
 DELAY_SECONDS = 0.15
-# Closing with this option sends a reset.
+# Closing a socket with this linger option sends a reset.
 NO_LINGER = struct.pack('ii', 1, 0)
 
 
 class ProxyFault(StrEnum):
-    """What the proxy does to all its connections."""
+    """Fault that applies to all connections of the proxy."""
 
     none = 'none'
     delayed = 'delayed'
@@ -28,7 +28,7 @@
 
 
 class HarmingProxy:
-    """Passes bytes between callers and one target."""
+    """Forwards bytes between callers and one target."""
 
     def __init__(self, target: str, host: str = '127.0.0.1') -> None:
         """Listen on a free port of a loopback address."""
@@ -40,7 +40,7 @@
 
     @property
     def address(self) -> str:
-        """Give ``host:port`` of the listener."""
+        """Return ``host:port`` of the listener."""
         host = self._server.server_host
         port = self._server.server_port
         return f'{host}:{port}'
@@ -53,12 +53,12 @@
                 sock.close()
 
     def stop(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset all open connections."""
         self._server.stop()
         self.reset()
 
     def shut(self) -> None:
-        """Refuse connections, as where nobody listens any more."""
+        """Refuse connections, as an address without a listener does."""
         self.stop()
 
     def reopen(self) -> None:
@@ -93,7 +93,7 @@
                 self._wait(is_response=is_response)
                 sink.sendall(content)
         except OSError:
-            # Either end is gone; the other one is closed with it.
+            # One side is closed; `_serve` closes the other one.
             return
 
     def _wait(self, *, is_response: bool) -> None:
--- a/src/wigeonpier/bench/replica.py
+++ b/src/wigeonpier/bench/replica.py
@@ -1,8 +1,8 @@
-"""Stand-in of a replica on the users' platform: slots, streams, refusals.
+"""Stand-in for a replica on the users' platform: slots, streams, refusals.
 
-A request whose body holds :data:`DEADLY_MARK` ends the replica that runs it,
-as a fault in an engine does; the replica is back after a while, under a new
-id.
+A request whose body contains :data:`DEADLY_MARK` crashes the replica that
+runs it, as a fault in an engine does.  The replica restarts after a delay
+under a new id.
 """
 
 from __future__ import annotations
@@ -41,17 +41,17 @@
 SIGNATURE = 'stand-in'
 UNRESPONSIVE_STEP_SECONDS = 0.05
 DEADLY_MARK = b'[[crash]]'
-# From the begin of its run to the end of the replica.
+# From the start of the run to the crash of the replica.
 DEADLY_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request as it came to be run.
+    """A request that a replica ran.
 
-    :param identity: its id.
-    :param at: when, seconds of the steady clock.
-    :param headers: its headers by lower-case name.
+    :param identity: id of the request.
+    :param at: start of the run, seconds of the monotonic clock.
+    :param headers: headers by lower-case name.
     """
 
     identity: str
@@ -61,14 +61,16 @@
 
 @dataclass(slots=True)
 class ReplicaFaults:
-    """What the stand-in does wrong now.
-
-    :param break_after: closes so many streams after half of their events.
-    :param fail: answers so many requests with 500.
-    :param turn_away: answers so many requests with 503, unrun.
-    :param is_dark: takes connections, and never answers.
-    :param is_cured: runs deadly requests as others.
-    :param impossible: ids of requests that can never be done.
+    """Active faults of the stand-in.
+
+    :param break_after: number of next streams that are closed after half of
+        their events.
+    :param fail: number of next requests that are answered with 500.
+    :param turn_away: number of next requests that are answered with 503
+        without being run.
+    :param is_dark: accepts connections and does not answer.
+    :param is_cured: runs crashing requests like any other request.
+    :param impossible: ids of requests that always fail with 422.
     """
 
     break_after: int = 0
@@ -81,11 +83,12 @@
 
 @dataclass(slots=True)
 class CrashingRun:
-    """One run of a request that ends replicas.
+    """One run of a request that crashes replicas.
 
-    :param fingerprint: content of the request.
-    :param started_at: seconds of the steady clock.
-    :param crashed_at: when the replica ended under it, 0 where it did not.
+    :param fingerprint: fingerprint of the request.
+    :param started_at: start, seconds of the monotonic clock.
+    :param crashed_at: time of the crash that it caused, seconds of the
+        monotonic clock, 0 for none.
     """
 
     fingerprint: str
@@ -94,10 +97,10 @@
 
 
 class Frontend(Protocol):
-    """Another way to the replica, which ends and begins with it."""
+    """A listener in front of the replica, which fails and restarts with it."""
 
     def shut(self) -> None:
-        """Refuse connections, and break those that are open."""
+        """Refuse new connections and reset the open ones."""
 
     def reopen(self) -> None:
         """Accept connections again."""
@@ -105,12 +108,13 @@
 
 @dataclass(slots=True)
 class _ReplicaProcess:
-    """What a replica holds from its start to its end.
+    """State of a replica from one start to the next crash.
 
-    :param gate: its slots.
-    :param running: requests that run.
-    :param waiting: requests that wait for a slot.
+    :param gate: semaphore of the slots.
+    :param running: number of running requests.
+    :param waiting: number of requests that wait for a slot.
     :param connections: open connections of callers.
+    :param is_over: whether the replica has crashed.
     """
 
     gate: BoundedSemaphore
@@ -127,23 +131,23 @@
 class StandInReplica:
     """One replica.
 
-    :param name: its id.
-    :param service: service that it is a replica of.
-    :param store: where it registers.
-    :param slots: requests that it runs at once.
-    :param events: events of each answer.
+    :param name: id of the replica.
+    :param service: service that it belongs to.
+    :param store: store in which it registers.
+    :param slots: maximum number of running requests.
+    :param events: number of events of each answer.
     :param event_seconds: time between events.
-    :param faults: what it does wrong now.
-    :param runs: how often each request ran.
-    :param incarnation: grows with each start, 0 where it is not told.
+    :param faults: active faults.
+    :param runs: number of runs by id of the request.
+    :param incarnation: grows with each start, 0 if it is not reported.
     :param version: version of its software.
-    :param restart_seconds: from an end to the next start.
-    :param register_seconds: from the next start to its entry.
-    :param lapse_seconds: from an end until its entry is gone.
-    :param ended_by: fingerprint of each request that ended it, empty for an
-        end for another reason.
-    :param crashing_runs: runs of requests that end replicas.
-    :param frontends: other ways to it.
+    :param restart_seconds: time from a crash to the next start.
+    :param register_seconds: time from the next start to its registration.
+    :param lapse_seconds: time from a crash until its registration is removed.
+    :param ended_by: fingerprint of the request that caused each crash, empty
+        for a crash without one.
+    :param crashing_runs: runs of requests that crash replicas.
+    :param frontends: listeners in front of it.
     :param received: the last requests that it ran.
     """
 
@@ -176,23 +180,23 @@
 
     @property
     def is_up(self) -> bool:
-        """Tell whether it runs."""
+        """Return whether the replica is running."""
         return self._server is not None
 
     @property
     def running(self) -> int:
-        """Count the requests that run."""
+        """Return the number of running requests."""
         return self._life.running
 
     @property
     def waiting(self) -> int:
-        """Count the requests that wait for a slot."""
+        """Return the number of requests that wait for a slot."""
         return self._life.waiting
 
     def start(self, data_centre: str, host: str = '127.0.0.1') -> str:
         """Listen on a free port and register.
 
-        :param data_centre: where it stands.
+        :param data_centre: data centre of its VM.
         :param host: address of its VM.
         :returns: ``host:port``.
         """
@@ -202,9 +206,9 @@
         return self.address
 
     def register(self, data_centre: str) -> None:
-        """Write its entry.
+        """Write its registration to the store.
 
-        :param data_centre: where it stands.
+        :param data_centre: data centre of its VM.
         """
         entry = Replica(
             self.name,
@@ -219,23 +223,24 @@
         self.store.put(name_replica(self.name), encode_replica(entry))
 
     def announce(self, *, is_leaving: bool) -> None:
-        """Say that it leaves, or that it does not.
+        """Register whether the replica is leaving.
 
-        :param is_leaving: whether it takes no new work.
+        :param is_leaving: whether it accepts no new work.
         """
         self.is_leaving = is_leaving
         self.register(self._data_centre)
 
     def stop(self) -> None:
-        """Die without a word, for good."""
+        """Stop without notice; the registration stays in the store."""
         if self._server is not None:
             self._server.stop()
             self._server = None
 
     def end(self, fingerprint: str = '') -> None:
-        """Die without a word; it is back after a while, under a new id.
+        """Crash, and restart later under a new id.
 
-        :param fingerprint: content of the request that ended it, if one did.
+        :param fingerprint: fingerprint of the request that caused the crash,
+            empty for none.
         """
         if self._server is None:
             return
@@ -263,7 +268,7 @@
         return f'{identity}-{number}'
 
     def make_output(self, identity: str) -> str:
-        """Make the whole text of a request.
+        """Make the complete text of a request.
 
         :param identity: id of the request.
         :returns: data of all events, separated by line feeds.
@@ -359,14 +364,16 @@
             for number in range(last + 1, self.events + 1):
                 gevent.sleep(self.event_seconds)
                 if life.is_over:
-                    raise ConnectionAbortedError('the replica has ended')
+                    raise ConnectionAbortedError('the replica has crashed')
                 if is_broken and number > self.events // 2:
-                    raise ConnectionAbortedError('broken on purpose')
+                    raise ConnectionAbortedError(
+                        'stream broken by an injected fault'
+                    )
                 text = self.make_text(identity, number)
                 yield f'id: {number}\ndata: {text}\n\n'.encode()
 
     def _run_crashing(self, request: Request, body: bytes) -> Iterator[bytes]:
-        """End the replica under a request that runs."""
+        """Run a request that crashes the replica."""
         life = self._life
         host = request.headers['host']
         fingerprint = digest_request(
@@ -385,11 +392,11 @@
                 run.crashed_at = time.monotonic()
                 self.end(fingerprint)
             yield b''
-            raise ConnectionAbortedError('the replica has ended')
+            raise ConnectionAbortedError('the replica has crashed')
 
 
 def _enter_slot(life: _ReplicaProcess, stack: ExitStack) -> None:
-    """Wait for a slot, and hold it as long as the stack."""
+    """Wait for a slot and release it when the stack is closed."""
     life.waiting += 1
     stack.enter_context(life.gate)
     life.waiting -= 1
--- a/src/wigeonpier/bench/store.py
+++ b/src/wigeonpier/bench/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the users' key-value service, with leases and watches."""
+"""Stand-in for the users' key-value service, with leases and watches."""
 
 from __future__ import annotations
 
@@ -42,12 +42,13 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What the stand-in does wrong now.
+    """Active faults of the stand-in.
 
     :param is_down: answers every call with 503.
-    :param is_silent: answers nothing until this is taken back.
-    :param is_deaf: never answers what comes now, not later either.
-    :param lost_writes: so many writes take effect without an answer.
+    :param is_silent: delays all answers until this is reset.
+    :param is_deaf: never answers the calls that arrive while this is set.
+    :param lost_writes: number of next POST calls that take effect without an
+        answer.
     """
 
     is_down: bool = False
@@ -64,10 +65,10 @@
 
 @dataclass(slots=True)
 class StandInStore:
-    """The service, in memory.
+    """In-memory key-value service.
 
-    :param faults: what it does wrong now.
-    :param calls: calls by path.
+    :param faults: active faults.
+    :param calls: number of calls by path.
     """
 
     faults: StoreFaults = field(default_factory=StoreFaults)
@@ -83,7 +84,7 @@
     _server: Server | None = None
 
     def start(self) -> str:
-        """Listen on a free port of loopback.
+        """Listen on a free loopback port.
 
         :returns: ``host:port``.
         """
@@ -107,10 +108,10 @@
             self._server.stop()
 
     def put(self, key: str, content: Any) -> int:
-        """Write a key as the operator and replicas do.
+        """Write a key, as the operator and replicas do.
 
-        :param key: its name.
-        :param content: its bytes, or anything that msgspec encodes.
+        :param key: name of the key.
+        :param content: bytes, or an object that msgspec can encode.
         :returns: the revision.
         """
         is_raw = isinstance(content, bytes)
@@ -119,30 +120,30 @@
         return self._apply([KeyWrite(key, raw)], [])
 
     def remove(self, key: str) -> None:
-        """Remove a key as replicas that left do.
+        """Remove a key, as replicas that leave do.
 
-        :param key: its name.
+        :param key: name of the key.
         """
         self._apply([], [key])
 
     def list_keys(self, prefix: str) -> list[str]:
-        """List keys for a test.
+        """List the keys with a prefix.
 
-        :param prefix: start of the keys.
-        :returns: the keys in order.
+        :param prefix: prefix of the keys.
+        :returns: sorted keys.
         """
         return sorted(key for key in self._cells if key.startswith(prefix))
 
     def compact(self) -> None:
-        """Forget the history; watches from before it begin anew."""
+        """Drop the history; watches of older revisions are answered with 410."""
         self._compacted = self._revision
         self._history.clear()
         self._notify_watches()
 
     def keep_old(self, without: str = '') -> None:
-        """Answer reads that may be old from what stands now.
+        """Answer reads that allow stale data from the present state.
 
-        :param without: start of keys that such reads do not know, if any.
+        :param without: prefix of keys that such reads omit, empty for none.
         """
         self._stale_cells = {
             key: cell
@@ -172,7 +173,9 @@
             response = handle(request)
             if request.method == 'POST' and self.faults.lost_writes:
                 self.faults.lost_writes -= 1
-                raise ConnectionAbortedError('the answer is lost')
+                raise ConnectionAbortedError(
+                    'answer dropped by an injected fault'
+                )
             return response
 
         return guard
@@ -232,7 +235,7 @@
     def _grant(self, request: Request) -> Response:
         requested = msgspec.json.decode(request.read_body(), type=LeaseBody)
         seconds = requested.time_to_live / MILLISECONDS
-        # An id that is used again would keep a dead owner's keys alive.
+        # A reused id would keep the keys of a crashed owner alive.
         self._granted += 1
         lease = self._granted
         self._leases[lease] = _Lease(seconds, time.monotonic() + seconds)
