--- a/src/wigeonpier/bench/faults.py
+++ b/src/wigeonpier/bench/faults.py
@@ -1,4 +1,4 @@
-"""Faults at the interfaces of a process: cut off, frozen, crashed."""
+"""Faults at the interfaces of a process: isolated, frozen, crashed."""
 
 from __future__ import annotations
 
@@ -16,42 +16,44 @@
 
 
 class ProcessFaults:
-    """What a process suffers now; shared by all that it sends or takes."""
+    """Active faults of a process, for its incoming and outgoing calls."""
 
     def __init__(self) -> None:
-        """Begin well."""
+        """Start without faults."""
         self.is_dead = False
         self.cut_from: set[str] = set()
         self._running = Signal()
         self._running.set()
 
     def freeze(self) -> None:
-        """Pause the process: nothing goes out or comes in."""
+        """Freeze the process: calls in both directions wait."""
         self._running.clear()
 
     def thaw(self) -> None:
-        """Let a paused process go on, as if no time had passed."""
+        """Resume a frozen process."""
         self._running.set()
 
     def make_caller(self, headers: dict[str, str]) -> HttpCaller:
-        """Make the process's connections.
+        """Make the client for the process's outgoing calls.
 
-        :param headers: sent with each call.
-        :returns: a caller that suffers the faults.
+        :param headers: headers of each call.
+        :returns: a client that is subject to the faults.
         """
         return _FaultyCaller(self, headers)
 
     def wrap(self, handler: Handler) -> Handler:
-        """Make incoming requests suffer the faults.
+        """Make incoming requests subject to the faults.
 
-        :param handler: the process's own.
-        :returns: the handler to serve.
+        :param handler: handler of the process.
+        :returns: handler that applies the faults first.
         """
 
         def serve(request: Request) -> Response:
             self.wait()
             if self.is_dead:
-                raise ConnectionResetError(ECONNRESET, 'the process is gone')
+                raise ConnectionResetError(
+                    ECONNRESET, 'the process has crashed'
+                )
             return handler(request)
 
         return serve
@@ -61,16 +63,16 @@
         self._running.wait()
 
     def is_unreachable(self, address: str) -> bool:
-        """Tell whether an address cannot be reached.
+        """Return whether an address cannot be reached.
 
         :param address: ``host:port``.
-        :returns: whether calls to it are lost.
+        :returns: whether calls to it fail.
         """
         return self.is_dead or address in self.cut_from
 
 
 class _FaultyCaller(HttpCaller):
-    """Connections that are lost or wait while the process suffers."""
+    """Client whose calls fail or wait while faults are active."""
 
     def __init__(self, faults: ProcessFaults, headers: dict[str, str]) -> None:
         super().__init__(headers)
--- a/src/wigeonpier/bench/fleet.py
+++ b/src/wigeonpier/bench/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes before stand-ins, on loopback."""
+"""Entries, local processes and engines as separate processes on loopback."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 class EngineSettings(msgspec.Struct):
-    """What an engine's process is told.
+    """Settings of an engine's process.
 
     :param address: ``host:port`` to listen on.
-    :param model: model that it serves.
-    :param shape: how fast it is.
-    :param seed: draws what it draws.
+    :param model: name of the model that it serves.
+    :param shape: speed and capacity of the engine.
+    :param seed: seed of its random choices.
     """
 
     address: str
@@ -54,7 +54,7 @@
 
     :param name: name of its VM.
     :param address: ``host:port``.
-    :param process: the running program.
+    :param process: the child process.
     """
 
     name: str
@@ -64,17 +64,17 @@
 
 @dataclass(slots=True)
 class ProcessFleet:
-    """Entries and local processes as programs of their own.
+    """Entries and local processes as separate processes.
 
-    :param folder: where settings and data folders are made.
-    :param shape: how fast the engine is.
-    :param most_engines: stand-in engines, each before some replicas.
-    :param platform: stand-in that all processes use.
-    :param entries: by name.
+    :param folder: parent of the settings files and data folders.
+    :param shape: speed and capacity of the engines.
+    :param most_engines: maximum number of stand-in engines.
+    :param platform: stand-in for the platform, used by all processes.
+    :param entries: entry processes by name.
     :param replicas: local processes by name.
-    :param admins: administration listeners of the entries.
-    :param engines: stand-ins, shared where there are more replicas.
-    :param caller: calls to the processes.
+    :param admins: administration addresses of the entries.
+    :param engines: stand-in engines, shared if there are more replicas.
+    :param caller: HTTP client for calls to the processes.
     """
 
     folder: Path
@@ -102,9 +102,9 @@
     ) -> None:
         """Start the fleet and wait until it is ready.
 
-        :param entries: entry processes.
-        :param replicas: local processes.
-        :param disks: entries with a data folder.
+        :param entries: number of entry processes.
+        :param replicas: number of local processes.
+        :param disks: number of entries with a data folder.
         :param base: base document, the example's by default.
         :param plan: names of data centres and services.
         """
@@ -123,25 +123,25 @@
         self._await_ready()
 
     def __enter__(self) -> ProcessFleet:
-        """Give the fleet; its processes end with the block."""
+        """Return the fleet, which is stopped at the end of the block."""
         return self
 
     def __exit__(self, *_details: object) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.stop()
 
     def stop(self) -> None:
-        """Tell all processes to stop and wait for them."""
-        # Local processes first: they hand their work over through entries.
+        """Terminate all processes and wait until they have exited."""
+        # Local processes first, as they transfer their work through entries.
         for group in (self.replicas, self.entries):
             _stop_all(list(group.values()))
         _stop_all(self.engines)
         self._stack.close()
 
     def count_engines(self) -> EngineCount:
-        """Add up what all engines have done.
+        """Sum the counts of all engines.
 
-        :returns: the sums, and the time of the last one.
+        :returns: the sums, with the latest time.
         """
         counts = [
             self.caller.call(engine.address, 'GET', COUNTS_PATH)
@@ -157,11 +157,11 @@
         )
 
     def read_metric(self, daemon: Daemon, name: str) -> float:
-        """Read one number of a process.
+        """Read one metric of a process.
 
         :param daemon: the process.
         :param name: name of the metric without prefix.
-        :returns: its value, 0 where it is not shown.
+        :returns: value, 0 if the metric is absent.
         """
         full = f'wigeonpier_{name}'
         called = self.caller.call(daemon.address, 'GET', '/metrics')
@@ -206,7 +206,7 @@
         self.entries[name] = self._spawn('entry', settings)
 
     def _start_engine(self, number: int) -> None:
-        """Start an engine as a process, so that it has a core of its own."""
+        """Start an engine as a process, so that it can use its own core."""
         address = _choose_address()
         encoded = msgspec.json.encode(
             EngineSettings(address, self._plan.service, self.shape, number),
@@ -256,7 +256,9 @@
     def _apply(self, base: dict[str, Any]) -> None:
         application = Application(0, 'first', 'bench', base)
         raw = msgspec.json.encode(application)
-        with gevent.Timeout(READY_SECONDS, TimeoutError('no entry')):
+        with gevent.Timeout(
+            READY_SECONDS, TimeoutError('no entry accepts the configuration')
+        ):
             while not self._call_admin(raw):
                 gevent.sleep(POLL_SECONDS)
 
@@ -270,7 +272,7 @@
         return not isinstance(called, Err) and called.ok_value.is_good
 
     def _await_ready(self) -> None:
-        with gevent.Timeout(READY_SECONDS, TimeoutError('not ready')):
+        with gevent.Timeout(READY_SECONDS, TimeoutError('fleet not ready')):
             while not self._is_ready():
                 gevent.sleep(POLL_SECONDS)
 
@@ -293,8 +295,8 @@
 def _stop_all(daemons: list[Daemon]) -> None:
     for daemon in daemons:
         daemon.process.terminate()
-    # The stand-ins here have to answer while the processes leave.
-    with gevent.Timeout(STOP_SECONDS, TimeoutError('not stopped')):
+    # The stand-ins in this process must answer while the others drain.
+    with gevent.Timeout(STOP_SECONDS, TimeoutError('processes not stopped')):
         while any(one.process.poll() is None for one in daemons):
             gevent.sleep(POLL_SECONDS)
 
--- a/src/wigeonpier/bench/site.py
+++ b/src/wigeonpier/bench/site.py
@@ -1,4 +1,4 @@
-"""A whole site on loopback in one process, from stand-ins and real parts."""
+"""Site on loopback in one process, of real components and stand-ins."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SitePlan:
-    """What a site is made of.
+    """Composition of a site.
 
     :param name: folder of its example configuration.
     :param data_centres: names of its data centres.
-    :param service: its model service.
-    :param replicas: replicas of it.
-    :param plain: its plain service.
-    :param entries: entry processes.
-    :param disks: entries with a data folder.
+    :param service: name of its model service.
+    :param replicas: number of replicas of the model service.
+    :param plain: name of its plain service.
+    :param entries: number of entry processes.
+    :param disks: number of entries with a data folder.
     :param key: key of a customer.
     """
 
@@ -79,9 +79,9 @@
 class Entry:
     """One entry process of the site.
 
-    :param app: the real parts.
-    :param faults: what it suffers.
-    :param settings: what it was told.
+    :param app: components of the process.
+    :param faults: active faults of the process.
+    :param settings: settings of the process.
     """
 
     app: EntryApp
@@ -93,10 +93,10 @@
 class Replica:
     """One upstream with its local process.
 
-    :param app: the real parts of the local process.
-    :param faults: what it suffers.
-    :param settings: what it was told.
-    :param engine: stand-in beside it, ``None`` for a plain service.
+    :param app: components of the local process.
+    :param faults: active faults of the local process.
+    :param settings: settings of the local process.
+    :param engine: stand-in for its engine, ``None`` for a plain service.
     """
 
     app: LocalApp
@@ -109,12 +109,12 @@
 class StandInSite:
     """All processes of a site.
 
-    :param plan: what it is made of.
-    :param folder: where data folders are made.
-    :param seed: draws what the stand-ins draw.
-    :param shape: how fast engines are.
-    :param batch: settings of batch jobs that differ from the example.
-    :param trace_file: file for spans of all processes, empty for none.
+    :param plan: composition of the site.
+    :param folder: parent of the data folders.
+    :param seed: seed of the stand-ins.
+    :param shape: speed and capacity of the engines.
+    :param batch: batch settings that override those of the example.
+    :param trace_file: file for the spans of all processes, empty for none.
     """
 
     plan: SitePlan
@@ -132,7 +132,7 @@
     _platform_address: str = ''
 
     def start(self, port: int = 0) -> None:
-        """Start everything and wait until it is ready.
+        """Start all processes and wait until they are ready.
 
         :param port: port of the first entry, 0 for a free one.
         """
@@ -150,7 +150,7 @@
         self.wait_until_ready()
 
     def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop all processes without draining."""
         for entry in self.entries.values():
             _kill(entry)
             entry.app.admin.stop()
@@ -164,7 +164,7 @@
     def read_base(self) -> dict[str, Any]:
         """Read the example's base document.
 
-        :returns: the document, with this site's own batch settings.
+        :returns: the document, with the batch settings of this site.
         """
         base = read_example(self.plan.name)
         base['batch'] |= self.batch
@@ -199,9 +199,9 @@
         return app.configuration.apply(application).version
 
     def find_entry(self) -> Entry:
-        """Find an entry that is not crashed.
+        """Find a live entry.
 
-        :returns: the first one.
+        :returns: the first live entry.
         """
         return next(
             entry for entry in self.entries.values() if not entry.faults.is_dead
@@ -210,7 +210,8 @@
     def add_entry(self, name: str, port: int = 0) -> Entry:
         """Start an entry process.
 
-        :param name: name of its VM; a known one gets its folder again.
+        :param name: name of its VM; the data folder of an earlier process with
+            this name is reused.
         :param port: port, 0 for a free one.
         :returns: the entry.
         """
@@ -268,7 +269,7 @@
         return self._start_local(name, 0, self.plan.plain, server.address)
 
     def crash_entry(self, name: str) -> None:
-        """Lose an entry VM without warning.
+        """Crash an entry VM.
 
         :param name: name of its VM.
         """
@@ -278,7 +279,7 @@
         self.platform.remove_vm(name)
 
     def crash_replica(self, name: str) -> None:
-        """Lose an upstream VM without warning.
+        """Crash an upstream VM.
 
         :param name: name of its VM.
         """
@@ -292,7 +293,7 @@
     def count_starts(self) -> Counter[str]:
         """Count how often engines started each prompt.
 
-        :returns: starts by prompt, of engines that are gone too.
+        :returns: starts by prompt, including crashed engines.
         """
         starts = Counter(self._lost_starts)
         for replica in self.replicas.values():
@@ -312,11 +313,11 @@
         )
 
     def wait_until_ready(self) -> None:
-        """Wait until each live entry knows each replica.
+        """Wait until each live entry knows all replicas and disks.
 
-        :raises TimeoutError: when that takes too long.
+        :raises TimeoutError: if that takes longer than `READY_SECONDS`.
         """
-        with gevent.Timeout(READY_SECONDS, TimeoutError('not ready')):
+        with gevent.Timeout(READY_SECONDS, TimeoutError('site not ready')):
             while not self._is_ready():
                 gevent.sleep(STEP_SECONDS)
 
--- a/src/wigeonpier/bench/soak.py
+++ b/src/wigeonpier/bench/soak.py
@@ -1,4 +1,4 @@
-"""Long randomised runs of the real parts under drawn faults."""
+"""Randomised soak test of the real components, within one process."""
 
 from __future__ import annotations
 
@@ -39,23 +39,25 @@
 
 
 class SoakReport(msgspec.Struct):
-    """What a soak run came to.
-
-    :param seed: draws load and faults.
-    :param seconds: length of the time with faults.
-    :param jobs: accepted jobs.
-    :param accepted: items of accepted jobs.
-    :param results: results that were read.
-    :param lost: accepted items without a result.
-    :param doubled: items with more than one result.
-    :param wrong: answers that are not right.
-    :param one_run_doubled: items that run at most once and started twice.
-    :param unfinished: jobs that did not end in time.
-    :param by_status: results by how they ended.
-    :param questions: online requests, and how many whole right answers.
-    :param false_refusals: questions that ran though a refusal said no.
-    :param faults: drawn faults by kind.
-    :param violations: broken promises by name.
+    """Outcome of a soak run.
+
+    :param seed: seed of load and faults.
+    :param seconds: duration of the fault phase.
+    :param jobs: number of accepted jobs.
+    :param accepted: number of items of accepted jobs.
+    :param results: number of results that were read.
+    :param lost: number of accepted items without a result.
+    :param doubled: number of items with more than one result.
+    :param wrong: number of incorrect answers.
+    :param one_run_doubled: number of run-once items that started twice.
+    :param unfinished: number of jobs that did not end in time.
+    :param by_status: number of results by status.
+    :param questions: number of online requests, and of those with a complete
+        and correct answer.
+    :param false_refusals: number of online requests that ran although the
+        refusal stated that they had not.
+    :param faults: number of injected faults by kind.
+    :param violations: number of violations by invariant.
     """
 
     seed: int
@@ -76,7 +78,7 @@
 
     @property
     def is_good(self) -> bool:
-        """Tell whether all promises held."""
+        """Return whether no check failed."""
         bad = (
             self.lost,
             self.doubled,
@@ -93,11 +95,11 @@
     """One job that a soak run submits.
 
     :param number: position in the run.
-    :param items: its items.
-    :param is_run_once: whether they run at most once.
-    :param job: id once it is accepted.
+    :param items: number of items.
+    :param is_run_once: whether its items run at most once.
+    :param job: id of the job, empty until it is accepted.
     :param is_cancelled: whether it was cancelled.
-    :param batch: how it ended.
+    :param batch: batch as last read.
     """
 
     number: int
@@ -108,9 +110,9 @@
     batch: dict[str, Any] = field(default_factory=dict)
 
     def make_prompts(self) -> list[str]:
-        """List the prompts, which no other job has.
+        """List the prompts, which are unique to the job.
 
-        :returns: one an item.
+        :returns: one prompt per item.
         """
         return [
             f'sweep {self.number} corner {corner}'
@@ -124,7 +126,7 @@
 
     :param site: the site under test.
     :param rng: seeded source of randomness.
-    :param report: what it comes to.
+    :param report: outcome of the run.
     :param sweeps: all jobs.
     """
 
@@ -134,7 +136,7 @@
     sweeps: list[Sweep] = field(default_factory=list)
 
     def run(self) -> None:
-        """Submit load under faults, heal, wait, and check."""
+        """Send load under faults, wait for all jobs, and check the results."""
         deadline = time.monotonic() + self.report.seconds
         injecting = gevent.spawn(self._inject_faults, deadline)
         sending = gevent.spawn(self._send_requests)
@@ -149,7 +151,7 @@
         }
 
     def make_client(self) -> Client:
-        """Make a caller that knows the live entries.
+        """Make a client of the live entries.
 
         :returns: the client.
         """
@@ -173,8 +175,8 @@
         active = []
         while time.monotonic() < deadline:
             kind = self.rng.choice(sorted(FAULTS))
-            # Half of the time the next fault comes before this one ends, so
-            # that pairs and repeats of all kinds are met.
+            # In half of the cases the next fault starts before this one ends,
+            # so that pairs and repeats of all kinds occur.
             counts[kind] += 1
             active.append(gevent.spawn(self._apply_fault, injector, kind))
             gevent.sleep(self.rng.uniform(*FAULT_GAP_SECONDS))
@@ -200,7 +202,7 @@
             gevent.sleep(JOB_GAP_SECONDS)
 
     def _submit(self, sweep: Sweep, cancel_draw: float) -> None:
-        """Send a job again and again until it is accepted, as callers do."""
+        """Retry until the job is accepted, as callers do."""
         lines = make_lines(
             self.site.plan.service,
             sweep.make_prompts(),
@@ -284,11 +286,11 @@
 
 
 def run_soak(seed: int, seconds: float, folder: Path) -> SoakReport:
-    """Run load under drawn faults, and check every promise.
+    """Run load under random faults and check all invariants.
 
-    :param seed: draws load and faults.
-    :param seconds: length of the time with faults.
-    :param folder: where data folders are made.
+    :param seed: seed of load and faults.
+    :param seconds: duration of the fault phase.
+    :param folder: parent of the data folders.
     :returns: the report.
     """
     violations.clear()
--- a/src/wigeonpier/bench/trouble.py
+++ b/src/wigeonpier/bench/trouble.py
@@ -1,4 +1,4 @@
-"""Faults that a soak run draws, each with its end."""
+"""Faults that a soak run injects, each with a function that removes it."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 @dataclass(slots=True)
 class FaultInjector:
-    """Draws what a fault hits.
+    """Injects faults into randomly chosen targets.
 
     :param site: the site under test.
     :param rng: seeded source of randomness.
-    :param replica_count: replicas that were started in all, for names.
+    :param replica_count: number of replicas started so far, used in names.
     """
 
     site: StandInSite
@@ -39,38 +39,38 @@
     replica_count: int
 
     def lose_replica(self) -> Undo:
-        """Lose an upstream VM without warning; another one comes."""
+        """Crash an upstream VM; a new one replaces it."""
         self.site.crash_replica(self._choose_replica().settings.name)
         return self._add_replica
 
     def leave_replica(self) -> Undo:
-        """Tell a local process to leave; another one comes."""
+        """Drain and stop a local process; a new one replaces it."""
         replica = self._choose_replica()
         replica.app.leave(DRAIN_SECONDS)
         self.site.crash_replica(replica.settings.name)
         return self._add_replica
 
     def freeze_replica(self) -> Undo:
-        """Pause a local process, which then wakes."""
+        """Freeze a local process."""
         replica = self._choose_replica()
         replica.faults.freeze()
         return replica.faults.thaw
 
     def isolate_replica(self) -> Undo:
-        """Cut a local process off from all entries."""
+        """Isolate a local process from all entries."""
         replica = self._choose_replica()
         replica.faults.cut_from.update(self.site.list_addresses())
         return replica.faults.cut_from.clear
 
     def crash_engine(self) -> Undo:
-        """Crash an engine; it comes back soon."""
+        """Crash an engine, which restarts by itself."""
         engine = self._choose_replica().engine
         if engine is not None:
             engine.crash(RESTART_SECONDS)
         return _do_nothing
 
     def slow_engine(self) -> Undo:
-        """Make an engine many times slower."""
+        """Slow an engine down by the factor `SLOWDOWN`."""
         engine = self._choose_replica().engine
         if engine is None:
             return _do_nothing
@@ -79,19 +79,19 @@
         return lambda: setattr(batcher, 'slowdown', 1)
 
     def lose_entry(self) -> Undo:
-        """Lose an entry VM; it comes back with its data folder."""
+        """Crash an entry VM; it restarts with its data folder."""
         name = self._choose_entry().settings.name
         self.site.crash_entry(name)
         return lambda: _restart_entry(self.site, name)
 
     def freeze_entry(self) -> Undo:
-        """Pause an entry process, which then wakes."""
+        """Freeze an entry process."""
         entry = self._choose_entry()
         entry.faults.freeze()
         return entry.faults.thaw
 
     def fill_disk(self) -> Undo:
-        """Fill a data folder."""
+        """Make writes to a data folder fail as on a full disk."""
         folder = self._choose_entry().app.parts.folder
         if folder is None:
             return _do_nothing
@@ -99,27 +99,27 @@
         return lambda: _free_disk(folder)
 
     def stop_platform(self) -> Undo:
-        """Take the key-value service down."""
+        """Make the key-value service refuse all calls."""
         self.site.platform.faults.down = True
         return self._restore_platform
 
     def slow_platform(self) -> Undo:
-        """Make the key-value service slow."""
+        """Delay all answers of the key-value service."""
         self.site.platform.faults.delay = SLOW_PLATFORM_SECONDS
         return self._restore_platform
 
     def lose_answers(self) -> Undo:
-        """Lose answers after writes took effect."""
+        """Lose answers to a share of writes that took effect."""
         self.site.platform.faults.lose_answers = LOST_SHARE
         return self._restore_platform
 
     def lose_writes(self) -> Undo:
-        """Lose writes before they took effect."""
+        """Lose a share of writes before they take effect."""
         self.site.platform.faults.refuse_writes = LOST_SHARE
         return self._restore_platform
 
     def freeze_list(self) -> Undo:
-        """Show the VM list as it is now, whatever comes."""
+        """Freeze the VM list at its present content."""
         platform = self.site.platform
         platform.faults.frozen_vms = [dict(vm) for vm in platform.vms]
         return self._restore_platform
@@ -170,7 +170,7 @@
 
 
 def _do_nothing() -> None:
-    """End a fault that ends by itself."""
+    """Undo nothing, for faults that end by themselves."""
 
 
 def _refuse_write(*_details: Any) -> int:
