--- a/src/wigeonpier/bench/answers.py
+++ b/src/wigeonpier/bench/answers.py
@@ -1,4 +1,4 @@
-"""Answers that a stand-in engine gives: a function of the prompt alone."""
+"""Deterministic answers of stand-in engines, computed from the prompt."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 def make_token(model: str, prompt: str, index: int) -> str:
     """Make one token of an answer.
 
-    :param model: model that answers.
-    :param prompt: whole prompt.
+    :param model: name of the model.
+    :param prompt: complete prompt.
     :param index: position in the answer.
-    :returns: a short word with a blank before it, except for the first.
+    :returns: a short word, preceded by a blank except for the first.
     """
     word = _pick_word(_hash_prompt(model, prompt), index)
     return word if index == 0 else f' {word}'
 
 
 def make_answer(model: str, prompt: str, length: int) -> str:
-    """Make a whole answer.
+    """Make a complete answer.
 
-    :param model: model that answers.
-    :param prompt: whole prompt.
-    :param length: tokens.
+    :param model: name of the model.
+    :param prompt: complete prompt.
+    :param length: number of tokens.
     :returns: the text.
     """
     return ''.join(make_token(model, prompt, index) for index in range(length))
--- a/src/wigeonpier/bench/completions.py
+++ b/src/wigeonpier/bench/completions.py
@@ -1,4 +1,4 @@
-"""Completions as the published interface shapes them."""
+"""Builds completions and stream events of the published interface."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Read the prompt of a completion request.
 
     :param body: the request.
-    :returns: the whole prompt.
+    :returns: the complete prompt.
     """
     messages = body.get('messages') or ()
     if messages:
@@ -29,14 +29,14 @@
 def render_event(content: dict[str, Any]) -> bytes:
     """Render a server-sent event.
 
-    :param content: its data.
-    :returns: the line and the blank one.
+    :param content: data of the event.
+    :returns: data line and blank line.
     """
     return b'data: %b\n\n' % msgspec.json.encode(content)
 
 
 def make_head(sequence: Sequence, shape: str) -> dict[str, Any]:
-    """Make what each part of an answer carries.
+    """Make the members that all parts of an answer have in common.
 
     :param sequence: the stream.
     :param shape: kind of object.
@@ -51,12 +51,12 @@
 
 
 def make_chunk(sequence: Sequence, shape: str, token: str) -> dict[str, Any]:
-    """Make the part of a stream that carries a token.
+    """Make the chunk of a stream that contains a token.
 
     :param sequence: the stream.
     :param shape: kind of object.
-    :param token: the text.
-    :returns: the part.
+    :param token: text of the token.
+    :returns: the chunk.
     """
     if shape == CHAT:
         choice: dict[str, Any] = {
@@ -71,11 +71,11 @@
 
 
 def make_last(sequence: Sequence, shape: str) -> dict[str, Any]:
-    """Make the part that ends a stream.
+    """Make the last chunk of a stream.
 
     :param sequence: the stream.
     :param shape: kind of object.
-    :returns: the part.
+    :returns: the chunk.
     """
     last = make_chunk(sequence, shape, '')
     last['choices'][0]['finish_reason'] = 'stop'
@@ -83,11 +83,11 @@
 
 
 def make_usage(sequence: Sequence, shape: str) -> dict[str, Any]:
-    """Make the part that counts the tokens.
+    """Make the chunk with the token counts.
 
     :param sequence: the stream.
     :param shape: kind of object.
-    :returns: the part.
+    :returns: the chunk.
     """
     last = make_chunk(sequence, shape, '')
     return last | {'choices': [], 'usage': count_tokens(sequence)}
@@ -121,7 +121,7 @@
     """Count the tokens of an answer.
 
     :param sequence: the stream.
-    :returns: usage.
+    :returns: the usage object.
     """
     prompt_tokens = len(sequence.prompt.split())
     return {
--- a/src/wigeonpier/bench/engine.py
+++ b/src/wigeonpier/bench/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in model engine behind the published completion interface."""
+"""Stand-in for a model engine with the published completion interface."""
 
 from __future__ import annotations
 
@@ -59,12 +59,12 @@
 
 
 class EngineCount(msgspec.Struct):
-    """What an engine has done, for the bench.
+    """Work that an engine has done.
 
     :param batch_tokens: tokens of batch work.
     :param batch_seconds: slot-seconds of batch work.
     :param online_seconds: slot-seconds of online work.
-    :param at: monotonic seconds.
+    :param at: time of the count, seconds of the monotonic clock.
     """
 
     batch_tokens: int
@@ -84,7 +84,7 @@
         checks_fencing: bool = False,
         seed: int = 0,
     ) -> None:
-        """Load the models; nothing listens yet."""
+        """Load the models without listening."""
         self.batcher = Batcher(shape)
         self.state = EngineState(dict.fromkeys(models, '1'))
         self.orders = OrderHandler(self.state, checks_fencing)
@@ -97,7 +97,7 @@
 
     @property
     def address(self) -> str:
-        """Give ``host:port``."""
+        """Return ``host:port`` of the listener."""
         if self._server is None:
             raise RuntimeError('the engine does not listen')
         return self._server.address
@@ -112,16 +112,16 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Stop listening and end all streams."""
+        """Stop listening and abort all streams."""
         self.batcher.crash()
         self.batcher.stop()
         if self._server is not None:
             self._server.stop()
 
     def crash(self, seconds: float = RESTART_SECONDS) -> None:
-        """Lose all streams and refuse calls for a while.
+        """Abort all streams and refuse calls until the restart.
 
-        :param seconds: time until the engine is back.
+        :param seconds: time until the restart.
         """
         if self.is_down:
             return
@@ -132,7 +132,7 @@
             gevent.spawn_later(seconds, self._restart)
             return
         host, port = split_address(self.address)
-        # Its address refuses connections, as where no process listens.
+        # The address refuses connections, as it does without a process.
         self._server.stop()
         gevent.spawn_later(seconds, self._restart, host, port)
 
@@ -144,7 +144,7 @@
         """
         request.body_limit = MAX_BODY_BYTES
         if self.is_down:
-            raise ConnectionResetError(ECONNRESET, 'the process is gone')
+            raise ConnectionResetError(ECONNRESET, 'the engine has crashed')
         routes = [
             make_route('POST', '/v1/(chat/)?completions', self._complete),
             make_route('GET', '/v1/models', self._list_models),
@@ -205,7 +205,7 @@
         wants_usage: bool,
     ) -> Iterator[bytes]:
         with ExitStack() as stack:
-            # A caller that goes away leaves its stream behind.
+            # Runs as well when the caller closes the connection early.
             stack.callback(self._drop_unfinished, sequence)
             for token in sequence.iterate_tokens():
                 yield render_event(make_chunk(sequence, shape, token))
--- a/src/wigeonpier/bench/load.py
+++ b/src/wigeonpier/bench/load.py
@@ -1,4 +1,4 @@
-"""Sends online requests and batch jobs to entries, and measures answers."""
+"""Load generator: sends online requests and batch jobs, measures answers."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What became of one online request.
+    """Outcome of one online request.
 
     :param arrival: the request.
-    :param status: HTTP status, 0 where there was none.
-    :param first_token: seconds, ``None`` where none came.
+    :param status: HTTP status, 0 for no answer.
+    :param first_token: seconds to the first token, ``None`` for no token.
     :param gaps: seconds between tokens.
-    :param is_right: whether the whole right answer came.
+    :param is_right: whether the answer is complete and correct.
     :param kind: kind of the error, empty for none.
-    :param ran: what a refusal said about the work.
-    :param ended: seconds from the start of the run.
+    :param ran: whether the request ran, as a refusal states it.
+    :param ended: end, seconds from the start of the run.
     """
 
     arrival: Arrival
@@ -55,11 +55,12 @@
 
 @dataclass(slots=True)
 class Client:
-    """A caller of the published interface.
+    """Client of the published interface.
 
-    :param addresses: entries; they are used in turn.
-    :param key: the customer's key.
-    :param model: model that is asked.
+    :param addresses: addresses of entries, used in turn.
+    :param key: key of the customer.
+    :param model: name of the model.
+    :param caller: HTTP client.
     """
 
     addresses: Sequence[str]
@@ -69,11 +70,11 @@
     _turn: int = 0
 
     def ask(self, arrival: Arrival, started: float = 0) -> Answer:
-        """Send one question and read its streamed answer.
+        """Send one online request and read its streamed answer.
 
-        :param arrival: the question.
-        :param started: monotonic start of the run.
-        :returns: what became of it.
+        :param arrival: the request.
+        :param started: start of the run, seconds of the monotonic clock.
+        :returns: outcome of the request.
         """
         answer = Answer(arrival)
         sent_at = time.monotonic()
@@ -102,10 +103,10 @@
         return answer
 
     def ask_all(self, arrivals: Sequence[Arrival]) -> list[Answer]:
-        """Send questions at their times and wait for all answers.
+        """Send online requests at their times and wait for all answers.
 
-        :param arrivals: questions in order of time.
-        :returns: what became of each.
+        :param arrivals: requests in order of time.
+        :returns: outcome of each request.
         """
         started = time.monotonic()
         pending = []
@@ -118,7 +119,7 @@
     def make_body(self, arrival: Arrival, *, is_stream: bool) -> bytes:
         """Make the body of a chat request.
 
-        :param arrival: the question.
+        :param arrival: the request.
         :param is_stream: whether to stream the answer.
         :returns: JSON.
         """
@@ -128,7 +129,7 @@
     def upload(self, lines: bytes) -> str:
         """Upload a batch file.
 
-        :param lines: its content.
+        :param lines: content of the file.
         :returns: id of the file.
         """
         form = (
@@ -150,9 +151,10 @@
     ) -> dict[str, Any]:
         """Create a batch job.
 
-        :param file_id: its input.
-        :param endpoint: path that its lines call.
-        :param idempotency_key: key of a resend, empty for none.
+        :param file_id: id of the input file.
+        :param endpoint: path of the requests in the file.
+        :param idempotency_key: key that marks repeated submissions, empty for
+            none.
         :param window: completion window.
         :returns: the batch.
         """
@@ -176,7 +178,7 @@
     def read_batch(self, job: str) -> dict[str, Any]:
         """Read a batch.
 
-        :param job: its id.
+        :param job: id of the batch.
         :returns: the batch.
         """
         return _read_good(self.call('GET', f'/v1/batches/{job}'))
@@ -184,7 +186,7 @@
     def cancel_batch(self, job: str) -> dict[str, Any]:
         """Cancel a batch.
 
-        :param job: its id.
+        :param job: id of the batch.
         :returns: the batch.
         """
         return _read_good(self.call('POST', f'/v1/batches/{job}/cancel'))
@@ -192,9 +194,9 @@
     def await_batch(self, job: str, seconds: float) -> dict[str, Any]:
         """Wait until a batch has ended.
 
-        :param job: its id.
-        :param seconds: longest wait.
-        :returns: the batch as it is then.
+        :param job: id of the batch.
+        :param seconds: maximum wait.
+        :returns: the batch as last read.
         """
         deadline = time.monotonic() + seconds
         batch: dict[str, Any] = {'status': 'unknown'}
@@ -229,13 +231,13 @@
         body: bytes = b'',
         headers: dict[str, str] | None = None,
     ) -> Reply | None:
-        """Send any call.
+        """Send a call to the next entry.
 
         :param method: HTTP method.
         :param path: path with query.
-        :param body: whole body.
-        :param headers: further headers.
-        :returns: the answer, ``None`` where there was none.
+        :param body: complete body.
+        :param headers: additional headers.
+        :returns: the answer, ``None`` for no answer.
         """
         called = self.caller.call(
             self._choose_entry(),
@@ -261,9 +263,9 @@
 def make_chat(model: str, prompt: str, length: int) -> dict[str, Any]:
     """Make the body of a chat request.
 
-    :param model: model that is asked.
-    :param prompt: what is asked.
-    :param length: tokens of the answer.
+    :param model: name of the model.
+    :param prompt: the prompt.
+    :param length: number of tokens of the answer.
     :returns: the body.
     """
     return {
@@ -282,10 +284,10 @@
 ) -> bytes:
     """Make a batch file.
 
-    :param model: model that is asked.
-    :param prompts: one an item; the item's id is its position.
-    :param length: tokens of each answer.
-    :param idempotent: what each line says, ``None`` to say nothing.
+    :param model: name of the model.
+    :param prompts: one prompt per item; the item's id contains its position.
+    :param length: number of tokens of each answer.
+    :param idempotent: value of this field in each line, ``None`` to omit it.
     :returns: JSON lines.
     """
     lines = []
@@ -303,7 +305,7 @@
 
 
 def _read_answer(reply: StreamReply, answer: Answer, sent_at: float) -> str:
-    """Read a streamed answer; an answer that is not whole is empty."""
+    """Read a streamed answer; return an empty text if it is incomplete."""
     if reply.status != HTTPStatus.OK:
         error = _read_refusal(reply.read())
         answer.kind = error.type
--- a/src/wigeonpier/bench/main.py
+++ b/src/wigeonpier/bench/main.py
@@ -1,4 +1,4 @@
-"""Stand-ins, load and experiments; the daemons never need this."""
+"""Command line of the experiments and stand-ins; no daemon imports it."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one experiment or tool.
 
-    :param arguments: command line, the process's own by default.
+    :param arguments: command line, that of the process by default.
     :returns: exit status.
     """
-    # Owners and upstreams that are lost on purpose would fill the log.
+    # Injected crashes of owners and upstreams would fill the log.
     configure_logs('bench', 'critical')
     parsed = make_parser().parse_args(arguments)
     return int(parsed.run(parsed))
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Make the parser with all sub-commands.
+    """Make the parser with all subcommands.
 
     :returns: the parser.
     """
@@ -53,7 +53,9 @@
         )
         for option in experiment.options:
             _add_option(command, option)
-        command.add_argument('--json', action='store_true', help='always so')
+        command.add_argument(
+            '--json', action='store_true', help='print JSON (always on)'
+        )
         command.set_defaults(run=_bind_experiment(experiment))
     _add_capacity(commands.add_parser('capacity', help="the page's figures"))
     _add_engine(commands.add_parser('engine', help='a stand-in engine'))
@@ -122,7 +124,7 @@
 
 
 def _run_engine(parsed: argparse.Namespace) -> int:
-    """Serve one stand-in engine until it is told to stop."""
+    """Serve one stand-in engine until a signal stops it."""
     settings = msgspec.json.decode(parsed.settings, type=EngineSettings)
     engine = StandInEngine(
         (settings.model,), settings.shape, seed=settings.seed
--- a/src/wigeonpier/bench/platform.py
+++ b/src/wigeonpier/bench/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: key-value gateway, leases, watches, VM list."""
+"""Stand-in for the platform: key-value gateway, leases, watches, VM list."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 @dataclass(slots=True)
 class PlatformFaults:
-    """What the stand-in does wrong now.
+    """Active faults of the stand-in.
 
-    :param down: refuses every call.
+    :param down: whether every call is refused.
     :param delay: seconds before each answer.
     :param lose_answers: share of writes, 0 to 1, whose answer is lost after
         the write took effect.
-    :param refuse_writes: share of writes, 0 to 1, lost before they took
-        effect.
-    :param frozen_vms: shows the VM list as it was when this was set.
+    :param refuse_writes: share of writes, 0 to 1, that are lost before they
+        take effect.
+    :param frozen_vms: VM list to answer with, ``None`` for the current one.
     """
 
     down: bool = False
@@ -61,10 +61,10 @@
 
 
 class StandInPlatform:
-    """Keeps keys in memory and answers as the published gateway does."""
+    """Stores keys in memory and implements the published gateway."""
 
     def __init__(self, seed: int = 0) -> None:
-        """Start empty; the seed draws which answers are lost."""
+        """Start empty; the seed decides which writes and answers are lost."""
         self.faults = PlatformFaults()
         self.calls: Counter[str] = Counter()
         self.vms: list[dict[str, str]] = []
@@ -108,11 +108,11 @@
         return server
 
     def add_vm(self, name: str, address: str, data_centre: str) -> None:
-        """Put a live VM on the list.
+        """Add a live VM to the list.
 
         :param name: name of the VM.
         :param address: ``host:port`` of its process.
-        :param data_centre: where it stands.
+        :param data_centre: data centre of the VM.
         """
         self.vms.append(
             {
@@ -124,7 +124,7 @@
         )
 
     def mark_leaving(self, name: str) -> None:
-        """Show a VM as leaving.
+        """Mark a VM as leaving.
 
         :param name: name of the VM.
         """
@@ -133,16 +133,16 @@
                 vm['state'] = 'leaving'
 
     def remove_vm(self, name: str) -> None:
-        """Take a VM off the list.
+        """Remove a VM from the list.
 
         :param name: name of the VM.
         """
         self.vms = [vm for vm in self.vms if vm['name'] != name]
 
     def lapse_lease(self, lease: int) -> None:
-        """End a lease now and delete its keys.
+        """Expire a lease now and delete its keys.
 
-        :param lease: its id.
+        :param lease: id of the lease.
         """
         lapsed = self._leases.pop(lease, None)
         for key in lapsed.keys if lapsed else ():
@@ -234,7 +234,7 @@
                 if change[0] >= since and start <= change[1] < end
             ]
             position = len(self._history)
-            # An empty line of events keeps the connection known alive.
+            # A line without events serves as a keep-alive.
             line = msgspec.json.encode({'result': {'events': changes}})
             yield b'%b\n' % line
             if position == len(self._history):
--- a/tests/bench/test_engine.py
+++ b/tests/bench/test_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine behaves as the brief says engines do."""
+"""Tests of the stand-in engine against the specified engine behaviour."""
 
 from __future__ import annotations
 
@@ -139,8 +139,8 @@
         for line in lines
         for choice in line['choices']
     )
-    whole = make_answer(MODEL, 'a long question', 40)
-    assert make_answer(MODEL, 'a long question', 3) + text == whole
+    expected = make_answer(MODEL, 'a long question', 40)
+    assert make_answer(MODEL, 'a long question', 3) + text == expected
 
 
 def _order(fence: int, **changes: Any) -> dict[str, Any]:
--- a/tests/bench/test_faultsoak.py
+++ b/tests/bench/test_faultsoak.py
@@ -1,4 +1,4 @@
-"""The soak of real processes, and that its checks see what they watch."""
+"""Short runs of the fault soak, and tests of its checks."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 from wigeonpier.bench.soakcrashes import check_crashing_runs, count_crashes
 from wigeonpier.bench.store import StandInStore
 
-# Seeds that ever failed, each with a line on its cause.
+# Seeds that failed in the past, each with its cause.
 REGRESSION_SEEDS = (
-    # A worker was ended by SIGHUP while it started and nobody started it
-    # again, and the stand-in gave the id of its lease to another process, so
-    # that it stayed a member and its items were never moved.
+    # SIGHUP terminated a worker during its start and it was not restarted.  The
+    # store stand-in reused the id of its lease for another process, so that the
+    # worker stayed a member and its items were never reassigned.
     26,
 )
-# Of runs in which all processes were killed while the store was away.
+# Seeds of runs in which all processes were killed during a store outage.
 LOST_VERDICT_SEEDS = (
-    # A verdict was to be written with the next read of the board, up to 20 s
-    # after the store's return, and was lost before; four more runs followed.
+    # A verdict was only written with the next read of the board, up to 20 s
+    # after the end of the outage, and was lost before; four more runs followed.
     204,
-    # Three questions with the same content were refused for what another one
-    # did, and for upstreams that ended by themselves.
+    # Three online requests with the same content were refused because of
+    # another request, and of upstreams that crashed by themselves.
     312,
-    # The store was away from the verdict until all processes were killed.
+    # The store was unreachable from the verdict until the kill of all processes.
     420,
 )
-# Of runs in which accepted jobs never got their results.
+# Seeds of runs in which accepted jobs never received their results.
 UNFINISHED_JOB_SEEDS = (
-    # The process beside an upstream sent items to an earlier start of it, all
-    # of which were refused.
+    # A worker addressed items to an earlier start of its upstream, which refused
+    # all of them.
     5116,
-    # Five items of the same content were taken for the cause of ends that came
-    # 0.12 and 0.22 s into their runs.
+    # Five items with the same content were identified as the cause of crashes
+    # that occurred 0.12 s and 0.22 s into their runs.
     6049,
 )
 SHORT_SEED = 4
 SHORT_SECONDS = 5.0
-# How long the runs were that found something.
+# Duration of the runs that found the faults.
 REGRESSION_SECONDS = 8.0
 BODY = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n'
 
@@ -61,7 +61,7 @@
 
 
 def test_invariants_hold_while_replicas_crash(tmp_path) -> None:
-    """Some of them under requests that end whatever runs them."""
+    """Some replicas crash under requests that crash every replica."""
     report = run_fault_soak(
         SHORT_SEED,
         SHORT_SECONDS,
@@ -74,7 +74,7 @@
 
 
 def test_invariants_hold_with_customers(tmp_path) -> None:
-    """Keys come and go, one customer asks far beyond its limit."""
+    """Keys are rotated, and one customer exceeds its rate limit by far."""
     report = run_fault_soak(
         SHORT_SEED,
         SHORT_SECONDS,
@@ -138,7 +138,7 @@
 
 
 def build_job(replica: StandInReplica, statuses: list[int]) -> SoakJob:
-    """Make a job with all its results."""
+    """Make a job with a complete list of results."""
     names = [f'j-{number}' for number in range(ITEMS_PER_JOB)]
     results = [
         {'id': name, 'output': replica.make_output(name)} for name in names
--- a/tests/bench/test_replica.py
+++ b/tests/bench/test_replica.py
@@ -1,4 +1,4 @@
-"""The stand-in of a replica ends as a process does."""
+"""Tests of the stand-in replica."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_crashing_request_crashes_a_replica_that_restarts() -> None:
-    """All that it runs ends with it, and its address refuses meanwhile."""
+    """Other requests fail with it, and its address refuses connections."""
     replica = StandInReplica('i', 's', StandInStore(), event_seconds=0.05)
     replica.restart_seconds = 0.3
     address = replica.start('a')
@@ -29,7 +29,7 @@
     assert pool.call(address, crashing, 5).is_err()
     assert other.get().is_err()
     assert pool.find_listener(address, 1) is Listening.refused
-    wait_for(lambda: replica.is_up, 'it is back')
+    wait_for(lambda: replica.is_up, 'the replica has restarted')
     assert replica.name == 'i.1'
     assert len(replica.ended_by) == 1
     again = make_request('POST', '/a', headers, b'other')
--- a/tests/bench/test_soakkeys.py
+++ b/tests/bench/test_soakkeys.py
@@ -1,4 +1,4 @@
-"""The checks of customers in the soak see what they watch."""
+"""Tests of the customer checks of the fault soak."""
 
 from __future__ import annotations
 
@@ -66,5 +66,5 @@
     sent = [(0.1 * number, 0.1 * number + 0.05) for number in range(36)]
     assert not check_windows(sent)
     assert check_windows([*sent, (4.0, 4.1)])
-    # What is run after the span does not count in it.
+    # A request that runs after the window does not count in it.
     assert not check_windows([*sent, (4.0, 9.1)])
