--- a/src/wigeonpier/bench/faultsoak.py
+++ b/src/wigeonpier/bench/faultsoak.py
@@ -197,7 +197,5 @@
     deadline = time.monotonic() + READY_SECONDS
     while not callers.is_ready():
         if time.monotonic() > deadline:
-            raise TimeoutError(
-                f'the daemons were not ready within {READY_SECONDS:g} s'
-            )
+            raise TimeoutError('the daemons are not ready')
         gevent.sleep(STEP_SECONDS)
