--- a/src/wigeonpier/bench/engine.py
+++ b/src/wigeonpier/bench/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in model engine behind the published completion interface."""
+"""Stand-in for a model engine with the published completion interface."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
     from wigeonpier.web.messages import Request
 
-MOST_BODY = 16_000_000
+MAX_BODY_BYTES = 16_000_000
 COUNTS_PATH = '/bench/counts'
 CRASH_MARK = '[[crash]]'
 REJECT_MARK = '[[reject]]'
@@ -59,12 +59,12 @@
 
 
 class EngineCount(msgspec.Struct):
-    """What an engine has done, for the bench.
+    """Work that an engine has done.
 
     :param batch_tokens: tokens of batch work.
     :param batch_seconds: slot-seconds of batch work.
     :param online_seconds: slot-seconds of online work.
-    :param at: monotonic seconds.
+    :param at: time of the count, seconds of the monotonic clock.
     """
 
     batch_tokens: int
@@ -84,7 +84,7 @@
         checks_fencing: bool = False,
         seed: int = 0,
     ) -> None:
-        """Load the models; nothing listens yet."""
+        """Load the models without listening."""
         self.batcher = Batcher(shape)
         self.state = EngineState(dict.fromkeys(models, '1'))
         self.orders = OrderHandler(self.state, checks_fencing)
@@ -97,7 +97,7 @@
 
     @property
     def address(self) -> str:
-        """Give ``host:port``."""
+        """Return ``host:port`` of the listener."""
         if self._server is None:
             raise RuntimeError('the engine does not listen')
         return self._server.address
@@ -112,16 +112,16 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Stop listening and end all streams."""
+        """Stop listening and abort all streams."""
         self.batcher.crash()
         self.batcher.stop()
         if self._server is not None:
             self._server.stop()
 
     def crash(self, seconds: float = RESTART_SECONDS) -> None:
-        """Lose all streams and refuse calls for a while.
+        """Abort all streams and refuse calls until the restart.
 
-        :param seconds: time until the engine is back.
+        :param seconds: time until the restart.
         """
         if self.is_down:
             return
@@ -129,12 +129,12 @@
         self.crashes += 1
         self.batcher.crash()
         if self._server is None:
-            gevent.spawn_later(seconds, self._come_back)
+            gevent.spawn_later(seconds, self._restart)
             return
         host, port = split_address(self.address)
-        # Its address refuses connections, as where no process listens.
+        # The address refuses connections, as it does without a process.
         self._server.stop()
-        gevent.spawn_later(seconds, self._come_back, host, port)
+        gevent.spawn_later(seconds, self._restart, host, port)
 
     def handle(self, request: Request) -> Response:
         """Answer one call.
@@ -142,9 +142,9 @@
         :param request: the call.
         :returns: the answer.
         """
-        request.body_limit = MOST_BODY
+        request.body_limit = MAX_BODY_BYTES
         if self.is_down:
-            raise ConnectionResetError(ECONNRESET, 'the process is gone')
+            raise ConnectionResetError(ECONNRESET, 'the engine has crashed')
         routes = [
             make_route('POST', '/v1/(chat/)?completions', self._complete),
             make_route('GET', '/v1/models', self._list_models),
@@ -160,7 +160,7 @@
         ]
         return dispatch_to(routes)(request)
 
-    def _come_back(self, host: str = '', port: int = 0) -> None:
+    def _restart(self, host: str = '', port: int = 0) -> None:
         self.is_down = False
         if host:
             self.serve(host, port)
@@ -168,7 +168,7 @@
     def _complete(self, request: Request, chat: str | None) -> Response:
         body = msgspec.json.decode(request.read_body())
         prompt = read_prompt(body)
-        self._misbehave(prompt)
+        self._apply_marks(prompt)
         sequence = Sequence(
             identity=request.headers.get(headers.REQUEST_ID) or make_identity(),
             model=body['model'],
@@ -204,9 +204,9 @@
         shape: str,
         wants_usage: bool,
     ) -> Iterator[bytes]:
-        with ExitStack() as held:
-            # A caller that goes away leaves its stream behind.
-            held.callback(self._drop_unfinished, sequence)
+        with ExitStack() as stack:
+            # Runs as well when the caller closes the connection early.
+            stack.callback(self._drop_unfinished, sequence)
             for token in sequence.iterate_tokens():
                 yield render_event(make_chunk(sequence, shape, token))
             if sequence.is_cancelled:
@@ -230,16 +230,16 @@
         kept = self.batcher.kept.get(identity)
         if kept is None:
             raise Refusal(ErrorKind.not_found, 'the stream is not kept')
-        asked = msgspec.json.decode(request.read_body())
+        message = msgspec.json.decode(request.read_body())
         sequence = Sequence(
             identity,
             kept.model,
             kept.prompt,
             kept.length,
-            int(asked['delivered']),
+            int(message['delivered']),
         )
         self.batcher.add(sequence)
-        return self._stream(sequence, asked.get('object', CHAT), True)
+        return self._stream(sequence, message.get('object', CHAT), True)
 
     def _export_kv(self, _request: Request, identity: str) -> Response:
         kept = self.batcher.kept.get(identity)
@@ -299,7 +299,7 @@
         ]
         return answer_json({'object': 'list', 'data': data})
 
-    def _misbehave(self, prompt: str) -> None:
+    def _apply_marks(self, prompt: str) -> None:
         if REJECT_MARK in prompt:
             raise Refusal(ErrorKind.invalid_request, 'the prompt is refused')
         if FAIL_MARK in prompt:
--- a/src/wigeonpier/bench/load.py
+++ b/src/wigeonpier/bench/load.py
@@ -1,4 +1,4 @@
-"""Sends online requests and batch jobs to entries, and measures answers."""
+"""Load generator: sends online requests and batch jobs, measures answers."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 
 CHAT = '/v1/chat/completions'
 BOUNDARY = 'wigeonpier-bench-boundary'
-PATIENCE_SECONDS = 120.0
+TIMEOUT_SECONDS = 120.0
 POLL_SECONDS = 0.1
 FINAL = ('completed', 'cancelled')
 
 
 @dataclass(slots=True)
 class Answer:
-    """What became of one online request.
+    """Outcome of one online request.
 
     :param arrival: the request.
-    :param status: HTTP status, 0 where there was none.
-    :param first_token: seconds, ``None`` where none came.
+    :param status: HTTP status, 0 for no answer.
+    :param first_token: seconds to the first token, ``None`` for no token.
     :param gaps: seconds between tokens.
-    :param is_right: whether the whole right answer came.
+    :param is_right: whether the answer is complete and correct.
     :param kind: kind of the error, empty for none.
-    :param ran: what a refusal said about the work.
-    :param ended: seconds from the start of the run.
+    :param ran: whether the request ran, as a refusal states it.
+    :param ended: end, seconds from the start of the run.
     """
 
     arrival: Arrival
@@ -55,11 +55,12 @@
 
 @dataclass(slots=True)
 class Client:
-    """A caller of the published interface.
+    """Client of the published interface.
 
-    :param addresses: entries; they are used in turn.
-    :param key: the customer's key.
-    :param model: model that is asked.
+    :param addresses: addresses of entries, used in turn.
+    :param key: key of the customer.
+    :param model: name of the model.
+    :param caller: HTTP client.
     """
 
     addresses: Sequence[str]
@@ -69,21 +70,21 @@
     _turn: int = 0
 
     def ask(self, arrival: Arrival, started: float = 0) -> Answer:
-        """Send one question and read its streamed answer.
+        """Send one online request and read its streamed answer.
 
-        :param arrival: the question.
-        :param started: monotonic start of the run.
-        :returns: what became of it.
+        :param arrival: the request.
+        :param started: start of the run, seconds of the monotonic clock.
+        :returns: outcome of the request.
         """
         answer = Answer(arrival)
-        asked = time.monotonic()
+        sent_at = time.monotonic()
         opened = self.caller.open(
-            self._choose(),
+            self._choose_entry(),
             'POST',
             CHAT,
             self.make_body(arrival, is_stream=True),
             headers=self._make_headers(),
-            patience=PATIENCE_SECONDS,
+            patience=TIMEOUT_SECONDS,
         )
         if isinstance(opened, Err):
             answer.kind = opened.err_value.value
@@ -91,7 +92,7 @@
         reply = opened.ok_value
         answer.status = reply.status
         try:
-            text = _read_answer(reply, answer, asked)
+            text = _read_answer(reply, answer, sent_at)
         except (OSError, HTTPParseError, msgspec.DecodeError):
             answer.kind = 'broken'
             text = ''
@@ -102,10 +103,10 @@
         return answer
 
     def ask_all(self, arrivals: Sequence[Arrival]) -> list[Answer]:
-        """Send questions at their times and wait for all answers.
+        """Send online requests at their times and wait for all answers.
 
-        :param arrivals: questions in order of time.
-        :returns: what became of each.
+        :param arrivals: requests in order of time.
+        :returns: outcome of each request.
         """
         started = time.monotonic()
         pending = []
@@ -118,7 +119,7 @@
     def make_body(self, arrival: Arrival, *, is_stream: bool) -> bytes:
         """Make the body of a chat request.
 
-        :param arrival: the question.
+        :param arrival: the request.
         :param is_stream: whether to stream the answer.
         :returns: JSON.
         """
@@ -128,7 +129,7 @@
     def upload(self, lines: bytes) -> str:
         """Upload a batch file.
 
-        :param lines: its content.
+        :param lines: content of the file.
         :returns: id of the file.
         """
         form = (
@@ -150,13 +151,14 @@
     ) -> dict[str, Any]:
         """Create a batch job.
 
-        :param file_id: its input.
-        :param endpoint: path that its lines call.
-        :param idempotency_key: key of a resend, empty for none.
+        :param file_id: id of the input file.
+        :param endpoint: path of the requests in the file.
+        :param idempotency_key: key that marks repeated submissions, empty for
+            none.
         :param window: completion window.
         :returns: the batch.
         """
-        asked = {
+        sent_at = {
             'input_file_id': file_id,
             'endpoint': endpoint,
             'completion_window': window,
@@ -168,7 +170,7 @@
             self.call(
                 'POST',
                 '/v1/batches',
-                msgspec.json.encode(asked),
+                msgspec.json.encode(sent_at),
                 headers,
             ),
         )
@@ -176,7 +178,7 @@
     def read_batch(self, job: str) -> dict[str, Any]:
         """Read a batch.
 
-        :param job: its id.
+        :param job: id of the batch.
         :returns: the batch.
         """
         return _read_good(self.call('GET', f'/v1/batches/{job}'))
@@ -184,7 +186,7 @@
     def cancel_batch(self, job: str) -> dict[str, Any]:
         """Cancel a batch.
 
-        :param job: its id.
+        :param job: id of the batch.
         :returns: the batch.
         """
         return _read_good(self.call('POST', f'/v1/batches/{job}/cancel'))
@@ -192,13 +194,13 @@
     def await_batch(self, job: str, seconds: float) -> dict[str, Any]:
         """Wait until a batch has ended.
 
-        :param job: its id.
-        :param seconds: longest wait.
-        :returns: the batch as it is then.
+        :param job: id of the batch.
+        :param seconds: maximum wait.
+        :returns: the batch as last read.
         """
-        give_up = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         batch: dict[str, Any] = {'status': 'unknown'}
-        while time.monotonic() < give_up:
+        while time.monotonic() < deadline:
             reply = self.call('GET', f'/v1/batches/{job}')
             if reply is not None and reply.is_good:
                 batch = msgspec.json.decode(reply.body)
@@ -229,25 +231,25 @@
         body: bytes = b'',
         headers: dict[str, str] | None = None,
     ) -> Reply | None:
-        """Send any call.
+        """Send a call to the next entry.
 
         :param method: HTTP method.
         :param path: path with query.
-        :param body: whole body.
-        :param headers: further headers.
-        :returns: the answer, ``None`` where there was none.
+        :param body: complete body.
+        :param headers: additional headers.
+        :returns: the answer, ``None`` for no answer.
         """
         called = self.caller.call(
-            self._choose(),
+            self._choose_entry(),
             method,
             path,
             body,
             headers=self._make_headers() | (headers or {}),
-            patience=PATIENCE_SECONDS,
+            patience=TIMEOUT_SECONDS,
         )
         return None if isinstance(called, Err) else called.ok_value
 
-    def _choose(self) -> str:
+    def _choose_entry(self) -> str:
         self._turn += 1
         return self.addresses[self._turn % len(self.addresses)]
 
@@ -261,9 +263,9 @@
 def make_chat(model: str, prompt: str, length: int) -> dict[str, Any]:
     """Make the body of a chat request.
 
-    :param model: model that is asked.
-    :param prompt: what is asked.
-    :param length: tokens of the answer.
+    :param model: name of the model.
+    :param prompt: the prompt.
+    :param length: number of tokens of the answer.
     :returns: the body.
     """
     return {
@@ -282,10 +284,10 @@
 ) -> bytes:
     """Make a batch file.
 
-    :param model: model that is asked.
-    :param prompts: one an item; the item's id is its position.
-    :param length: tokens of each answer.
-    :param idempotent: what each line says, ``None`` to say nothing.
+    :param model: name of the model.
+    :param prompts: one prompt per item; the item's id contains its position.
+    :param length: number of tokens of each answer.
+    :param idempotent: value of this field in each line, ``None`` to omit it.
     :returns: JSON lines.
     """
     lines = []
@@ -302,8 +304,8 @@
     return b'\n'.join((*lines, b''))
 
 
-def _read_answer(reply: StreamReply, answer: Answer, asked: float) -> str:
-    """Read a streamed answer; an answer that is not whole is empty."""
+def _read_answer(reply: StreamReply, answer: Answer, sent_at: float) -> str:
+    """Read a streamed answer; return an empty text if it is incomplete."""
     if reply.status != HTTPStatus.OK:
         error = _read_refusal(reply.read())
         answer.kind = error.type
@@ -318,7 +320,7 @@
         if last:
             answer.gaps.append(now - last)
         else:
-            answer.first_token = now - asked
+            answer.first_token = now - sent_at
         last = now
     return assembler.text if assembler.is_whole else ''
 
--- a/src/wigeonpier/bench/main.py
+++ b/src/wigeonpier/bench/main.py
@@ -1,4 +1,4 @@
-"""Stand-ins, load and experiments; the daemons never need this."""
+"""Command line of the experiments and stand-ins; no daemon imports it."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one experiment or tool.
 
-    :param arguments: command line, the process's own by default.
+    :param arguments: command line, that of the process by default.
     :returns: exit status.
     """
-    # Owners and upstreams that are lost on purpose would fill the log.
+    # Injected crashes of owners and upstreams would fill the log.
     configure_logs('bench', 'critical')
     parsed = make_parser().parse_args(arguments)
     return int(parsed.run(parsed))
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Make the parser with all sub-commands.
+    """Make the parser with all subcommands.
 
     :returns: the parser.
     """
@@ -53,7 +53,9 @@
         )
         for option in experiment.options:
             _add_option(command, option)
-        command.add_argument('--json', action='store_true', help='always so')
+        command.add_argument(
+            '--json', action='store_true', help='print JSON (always on)'
+        )
         command.set_defaults(run=_bind_experiment(experiment))
     _add_capacity(commands.add_parser('capacity', help="the page's figures"))
     _add_engine(commands.add_parser('engine', help='a stand-in engine'))
@@ -107,13 +109,13 @@
 def _run_capacity(parsed: argparse.Namespace) -> int:
     path = Path(parsed.page)
     page = path.read_text(encoding='utf-8')
-    fresh = update_page(page, render_figures(load_slopes(parsed.slopes)))
+    updated = update_page(page, render_figures(load_slopes(parsed.slopes)))
     if not parsed.check:
-        path.write_text(fresh, encoding='utf-8')
+        path.write_text(updated, encoding='utf-8')
         return 0
-    if fresh != page:
+    if updated != page:
         sys.stderr.write(f'{path} is stale; run wigeonpier-bench capacity\n')
-    return int(fresh != page)
+    return int(updated != page)
 
 
 def _add_engine(command: argparse.ArgumentParser) -> None:
@@ -122,10 +124,12 @@
 
 
 def _run_engine(parsed: argparse.Namespace) -> int:
-    """Serve one stand-in engine until it is told to stop."""
-    told = msgspec.json.decode(parsed.settings, type=EngineSettings)
-    engine = StandInEngine((told.model,), told.shape, seed=told.seed)
-    engine.serve(*split_address(told.address))
+    """Serve one stand-in engine until a signal stops it."""
+    settings = msgspec.json.decode(parsed.settings, type=EngineSettings)
+    engine = StandInEngine(
+        (settings.model,), settings.shape, seed=settings.seed
+    )
+    engine.serve(*split_address(settings.address))
     watch_signals().wait()
     return 0
 
--- a/src/wigeonpier/bench/processes.py
+++ b/src/wigeonpier/bench/processes.py
@@ -1,4 +1,4 @@
-"""Hosted daemons as processes of their own, and signals to them."""
+"""Runs hosted daemons as separate processes and sends signals to them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from wigeonpier.bench.proxy import HarmingProxy
 
-TEMPLATE = """node = "{name}"
+SETTINGS_TEMPLATE = """node = "{name}"
 zone = "a"
 region = "r"
 ip = "{ip}"
@@ -48,28 +48,28 @@
 historyS = 20
 """
 FIRST_PORT = 12_000
-BLOCKS = 20
+BLOCK_COUNT = 20
 BLOCK_PORTS = 1000
-PORTS = ('metrics', 'peers', 'callers', 'readiness')
-# Ports that this process has looked at.
-_taken = count()
-# The lock on its block, held until it ends.
+PORT_NAMES = ('metrics', 'peers', 'callers', 'readiness')
+# Offsets within the block of the ports probed so far.
+_port_offsets = count()
+# Lock on the block of this process, held until the process exits.
 _locks: list[IO[bytes]] = []
 
 
 @dataclass(slots=True)
 class HostedProcess:
-    """One daemon that can be stopped, paused, killed and started again.
+    """One daemon that can be stopped, paused, killed and restarted.
 
-    :param role: what it runs as.
+    :param role: role of the daemon.
     :param name: name of its VM.
     :param folder: folder for its settings, log and disk.
-    :param store: its own way to the store.
-    :param upstream: address of its upstream, or empty.
+    :param store: proxy through which it reaches the store.
+    :param upstream: address of its upstream, empty for none.
     :param service: service of the upstream.
     :param ip: address of its VM.
     :param peers: port for other processes of the system, 0 for a free one.
-    :param callers: its address for callers.
+    :param callers: address that it serves callers on.
     """
 
     role: str
@@ -86,10 +86,10 @@
 
     def prepare(self) -> None:
         """Write the settings file."""
-        self._ports = {name: take_port() for name in PORTS}
+        self._ports = {name: take_port() for name in PORT_NAMES}
         self._ports['peers'] = self.peers or self._ports['peers']
         self.callers = f'127.0.0.1:{self._ports["callers"]}'
-        text = TEMPLATE.format(
+        text = SETTINGS_TEMPLATE.format(
             name=self.name,
             ip=self.ip,
             folder=self.disk,
@@ -101,7 +101,7 @@
         self._settings.write_text(text, encoding='utf-8')
 
     def start(self) -> None:
-        """Start it; its log is added to."""
+        """Start the process and append to its log."""
         with self.log.open('ab') as log:
             self._child = subprocess.Popen(
                 (
@@ -118,21 +118,21 @@
 
     @property
     def disk(self) -> Path:
-        """Give the folder of its disk."""
+        """Return the folder of its disk."""
         return self.folder / f'{self.name}.disk'
 
     @property
     def log(self) -> Path:
-        """Give the file of its log."""
+        """Return the path of its log."""
         return self.folder / f'{self.name}.log'
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process is there."""
+        """Return whether the process is running."""
         return self._child is not None and self._child.poll() is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, by its id.
+        """Send a signal to the process if it is running.
 
         :param number: the signal.
         """
@@ -140,7 +140,7 @@
             os.kill(self._child.pid, number)
 
     def kill(self) -> None:
-        """End the process at once and wait for its end."""
+        """Kill the process and wait until it has exited."""
         if self._child is not None:
             self.send(signal.SIGCONT)
             self._child.kill()
@@ -154,16 +154,16 @@
 def take_port() -> int:
     """Find a port that is free on every address of this machine.
 
-    It lies below those that the kernel gives to connections, one of which
-    could have it by the time that it is used.  Runs beside each other take
-    theirs from blocks of their own, each port once in a round.
+    The port lies below the ephemeral range of the kernel, so that no outgoing
+    connection can take it before it is used.  Concurrent runs use separate
+    blocks of ports, and each port of a block is tried once per round.
 
     :returns: the port.
-    :raises OSError: where none of the block is free, or no block is.
+    :raises OSError: if no port of the block or no block is free.
     """
     first = FIRST_PORT + _claim_block() * BLOCK_PORTS
     for _ in range(BLOCK_PORTS):
-        port = first + next(_taken) % BLOCK_PORTS
+        port = first + next(_port_offsets) % BLOCK_PORTS
         with socket.socket() as sock, suppress(OSError):
             sock.bind(('', port))
             return port
@@ -171,10 +171,10 @@
 
 
 def _claim_block() -> int:
-    """Claim a block of ports that no other process of this machine has."""
+    """Lock a block of ports that no other process of this machine uses."""
     if _locks:
         return int(Path(_locks[0].name).suffix[1:])
-    for block in range(BLOCKS):
+    for block in range(BLOCK_COUNT):
         path = Path(tempfile.gettempdir(), f'wigeonpier-ports.{block}')
         lock = path.open('wb')
         with suppress(BlockingIOError):
--- a/src/wigeonpier/bench/proxy.py
+++ b/src/wigeonpier/bench/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms connections from outside of both ends."""
+"""Loopback TCP proxy that injects network faults into connections."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from gevent.socket import create_connection
 
 READ_BYTES = 65_536
-STEP_SECONDS = 0.02
+CHECK_SECONDS = 0.02
 DELAY_SECONDS = 0.15
-# Closing with this option sends a reset.
+# Closing a socket with this linger option sends a reset.
 NO_LINGER = struct.pack('ii', 1, 0)
 
 
-class Harm(StrEnum):
-    """What the proxy does to all its connections."""
+class ProxyFault(StrEnum):
+    """Fault that applies to all connections of the proxy."""
 
     none = 'none'
     delayed = 'delayed'
@@ -28,19 +28,19 @@
 
 
 class HarmingProxy:
-    """Passes bytes between callers and one target."""
+    """Forwards bytes between callers and one target."""
 
     def __init__(self, target: str, host: str = '127.0.0.1') -> None:
         """Listen on a free port of a loopback address."""
         self.target = target
-        self.harm = Harm.none
+        self.fault = ProxyFault.none
         self._pairs: set[tuple[Any, Any]] = set()
         self._server = StreamServer((host, 0), self._serve)
         self._server.start()
 
     @property
     def address(self) -> str:
-        """Give ``host:port`` of the listener."""
+        """Return ``host:port`` of the listener."""
         host = self._server.server_host
         port = self._server.server_port
         return f'{host}:{port}'
@@ -53,12 +53,12 @@
                 sock.close()
 
     def stop(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset all open connections."""
         self._server.stop()
         self.reset()
 
     def shut(self) -> None:
-        """Refuse connections, as where nobody listens any more."""
+        """Refuse connections, as an address without a listener does."""
         self.stop()
 
     def reopen(self) -> None:
@@ -77,32 +77,32 @@
             return
         pair = (caller, target)
         self._pairs.add(pair)
-        pumps = [
-            gevent.spawn(self._pump, caller, target, is_back=False),
-            gevent.spawn(self._pump, target, caller, is_back=True),
+        directions = [
+            gevent.spawn(self._forward, caller, target, is_response=False),
+            gevent.spawn(self._forward, target, caller, is_response=True),
         ]
-        gevent.joinall(pumps, count=1)
-        gevent.killall(pumps)
+        gevent.joinall(directions, count=1)
+        gevent.killall(directions)
         self._pairs.discard(pair)
         for sock in pair:
             sock.close()
 
-    def _pump(self, source: Any, sink: Any, *, is_back: bool) -> None:
+    def _forward(self, source: Any, sink: Any, *, is_response: bool) -> None:
         try:
             while content := source.recv(READ_BYTES):
-                self._wait(is_back=is_back)
+                self._wait(is_response=is_response)
                 sink.sendall(content)
         except OSError:
-            # Either end is gone; the other one is closed with it.
+            # One side is closed; `_serve` closes the other one.
             return
 
-    def _wait(self, *, is_back: bool) -> None:
-        if self.harm is Harm.delayed:
+    def _wait(self, *, is_response: bool) -> None:
+        if self.fault is ProxyFault.delayed:
             gevent.sleep(DELAY_SECONDS)
-        while self._is_stuck(is_back=is_back):
-            gevent.sleep(STEP_SECONDS)
+        while self._is_blocked(is_response=is_response):
+            gevent.sleep(CHECK_SECONDS)
 
-    def _is_stuck(self, *, is_back: bool) -> bool:
-        if self.harm is Harm.silent:
+    def _is_blocked(self, *, is_response: bool) -> bool:
+        if self.fault is ProxyFault.silent:
             return True
-        return is_back and self.harm is Harm.one_way
+        return is_response and self.fault is ProxyFault.one_way
--- a/src/wigeonpier/bench/replica.py
+++ b/src/wigeonpier/bench/replica.py
@@ -1,8 +1,8 @@
-"""Stand-in of a replica on the users' platform: slots, streams, refusals.
+"""Stand-in for a replica on the users' platform: slots, streams, refusals.
 
-A request whose body holds :data:`DEADLY_MARK` ends the replica that runs it,
-as a fault in an engine does; the replica is back after a while, under a new
-id.
+A request whose body contains :data:`DEADLY_MARK` crashes the replica that
+runs it, as a fault in an engine does.  The replica restarts after a delay
+under a new id.
 """
 
 from __future__ import annotations
@@ -36,22 +36,22 @@
     from wigeonpier.bench.store import StandInStore
     from wigeonpier.web.messages import Request
 
-MOST_BODY = 4_000_000
-MOST_RECEIVED = 20_000
+MAX_BODY_BYTES = 4_000_000
+MAX_RECEIVED = 20_000
 SIGNATURE = 'stand-in'
-DARK_STEP_SECONDS = 0.05
+UNRESPONSIVE_STEP_SECONDS = 0.05
 DEADLY_MARK = b'[[crash]]'
-# From the begin of its run to the end of the replica.
+# From the start of the run to the crash of the replica.
 DEADLY_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request as it came to be run.
+    """A request that a replica ran.
 
-    :param identity: its id.
-    :param at: when, seconds of the steady clock.
-    :param headers: its headers by lower-case name.
+    :param identity: id of the request.
+    :param at: start of the run, seconds of the monotonic clock.
+    :param headers: headers by lower-case name.
     """
 
     identity: str
@@ -61,14 +61,16 @@
 
 @dataclass(slots=True)
 class ReplicaFaults:
-    """What the stand-in does wrong now.
-
-    :param break_after: closes so many streams after half of their events.
-    :param fail: answers so many requests with 500.
-    :param turn_away: answers so many requests with 503, unrun.
-    :param is_dark: takes connections, and never answers.
-    :param is_cured: runs deadly requests as others.
-    :param impossible: ids of requests that can never be done.
+    """Active faults of the stand-in.
+
+    :param break_after: number of next streams that are closed after half of
+        their events.
+    :param fail: number of next requests that are answered with 500.
+    :param turn_away: number of next requests that are answered with 503
+        without being run.
+    :param is_dark: accepts connections and does not answer.
+    :param is_cured: runs crashing requests like any other request.
+    :param impossible: ids of requests that always fail with 422.
     """
 
     break_after: int = 0
@@ -80,37 +82,39 @@
 
 
 @dataclass(slots=True)
-class DeadlyRun:
-    """One run of a request that ends replicas.
+class CrashingRun:
+    """One run of a request that crashes replicas.
 
-    :param fingerprint: content of the request.
-    :param began_at: seconds of the steady clock.
-    :param ended_at: when the replica ended under it, 0 where it did not.
+    :param fingerprint: fingerprint of the request.
+    :param started_at: start, seconds of the monotonic clock.
+    :param crashed_at: time of the crash that it caused, seconds of the
+        monotonic clock, 0 for none.
     """
 
     fingerprint: str
-    began_at: float
-    ended_at: float = 0
+    started_at: float
+    crashed_at: float = 0
 
 
-class Door(Protocol):
-    """Another way to the replica, which ends and begins with it."""
+class Frontend(Protocol):
+    """A listener in front of the replica, which fails and restarts with it."""
 
     def shut(self) -> None:
-        """Refuse connections, and break those that are open."""
+        """Refuse new connections and reset the open ones."""
 
     def reopen(self) -> None:
         """Accept connections again."""
 
 
 @dataclass(slots=True)
-class _Life:
-    """What a replica holds from its start to its end.
+class _ReplicaProcess:
+    """State of a replica from one start to the next crash.
 
-    :param gate: its slots.
-    :param running: requests that run.
-    :param waiting: requests that wait for a slot.
+    :param gate: semaphore of the slots.
+    :param running: number of running requests.
+    :param waiting: number of requests that wait for a slot.
     :param connections: open connections of callers.
+    :param is_over: whether the replica has crashed.
     """
 
     gate: BoundedSemaphore
@@ -127,23 +131,23 @@
 class StandInReplica:
     """One replica.
 
-    :param name: its id.
-    :param service: service that it is a replica of.
-    :param store: where it registers.
-    :param slots: requests that it runs at once.
-    :param events: events of each answer.
+    :param name: id of the replica.
+    :param service: service that it belongs to.
+    :param store: store in which it registers.
+    :param slots: maximum number of running requests.
+    :param events: number of events of each answer.
     :param event_seconds: time between events.
-    :param faults: what it does wrong now.
-    :param runs: how often each request ran.
-    :param incarnation: grows with each start, 0 where it is not told.
+    :param faults: active faults.
+    :param runs: number of runs by id of the request.
+    :param incarnation: grows with each start, 0 if it is not reported.
     :param version: version of its software.
-    :param restart_seconds: from an end to the next start.
-    :param register_seconds: from the next start to its entry.
-    :param lapse_seconds: from an end until its entry is gone.
-    :param ended_by: fingerprint of each request that ended it, empty for an
-        end for another reason.
-    :param deadly_runs: runs of requests that end replicas.
-    :param doors: other ways to it.
+    :param restart_seconds: time from a crash to the next start.
+    :param register_seconds: time from the next start to its registration.
+    :param lapse_seconds: time from a crash until its registration is removed.
+    :param ended_by: fingerprint of the request that caused each crash, empty
+        for a crash without one.
+    :param crashing_runs: runs of requests that crash replicas.
+    :param frontends: listeners in front of it.
     :param received: the last requests that it ran.
     """
 
@@ -163,34 +167,36 @@
     register_seconds: float = 0
     lapse_seconds: float = 1.5
     ended_by: list[str] = field(default_factory=list)
-    deadly_runs: list[DeadlyRun] = field(default_factory=list)
-    doors: list[Door] = field(default_factory=list)
+    crashing_runs: list[CrashingRun] = field(default_factory=list)
+    frontends: list[Frontend] = field(default_factory=list)
     received: deque[ReceivedRequest] = field(
-        default_factory=lambda: deque(maxlen=MOST_RECEIVED),
+        default_factory=lambda: deque(maxlen=MAX_RECEIVED),
     )
     _data_centre: str = ''
-    _life: _Life = field(default_factory=lambda: _Life(BoundedSemaphore()))
+    _life: _ReplicaProcess = field(
+        default_factory=lambda: _ReplicaProcess(BoundedSemaphore())
+    )
     _server: Server | None = None
 
     @property
     def is_up(self) -> bool:
-        """Tell whether it runs."""
+        """Return whether the replica is running."""
         return self._server is not None
 
     @property
     def running(self) -> int:
-        """Count the requests that run."""
+        """Return the number of running requests."""
         return self._life.running
 
     @property
     def waiting(self) -> int:
-        """Count the requests that wait for a slot."""
+        """Return the number of requests that wait for a slot."""
         return self._life.waiting
 
     def start(self, data_centre: str, host: str = '127.0.0.1') -> str:
         """Listen on a free port and register.
 
-        :param data_centre: where it stands.
+        :param data_centre: data centre of its VM.
         :param host: address of its VM.
         :returns: ``host:port``.
         """
@@ -200,9 +206,9 @@
         return self.address
 
     def register(self, data_centre: str) -> None:
-        """Write its entry.
+        """Write its registration to the store.
 
-        :param data_centre: where it stands.
+        :param data_centre: data centre of its VM.
         """
         entry = Replica(
             self.name,
@@ -217,23 +223,24 @@
         self.store.put(name_replica(self.name), encode_replica(entry))
 
     def announce(self, *, is_leaving: bool) -> None:
-        """Say that it leaves, or that it does not.
+        """Register whether the replica is leaving.
 
-        :param is_leaving: whether it takes no new work.
+        :param is_leaving: whether it accepts no new work.
         """
         self.is_leaving = is_leaving
         self.register(self._data_centre)
 
     def stop(self) -> None:
-        """Die without a word, for good."""
+        """Stop without notice; the registration stays in the store."""
         if self._server is not None:
             self._server.stop()
             self._server = None
 
     def end(self, fingerprint: str = '') -> None:
-        """Die without a word; it is back after a while, under a new id.
+        """Crash, and restart later under a new id.
 
-        :param fingerprint: content of the request that ended it, if one did.
+        :param fingerprint: fingerprint of the request that caused the crash,
+            empty for none.
         """
         if self._server is None:
             return
@@ -241,15 +248,15 @@
         self.ended_by.append(fingerprint)
         self.stop()
         self._life.is_over = True
-        for door in self.doors:
-            door.shut()
+        for frontend in self.frontends:
+            frontend.shut()
         for connection in self._life.connections:
             with suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
-        gone = name_replica(self.name)
-        gevent.spawn_later(self.lapse_seconds, self.store.remove, gone)
-        begin_again = partial(self._begin_again, host, int(port))
-        gevent.spawn_later(self.restart_seconds, begin_again)
+        entry_key = name_replica(self.name)
+        gevent.spawn_later(self.lapse_seconds, self.store.remove, entry_key)
+        restart = partial(self._restart, host, int(port))
+        gevent.spawn_later(self.restart_seconds, restart)
 
     def make_text(self, identity: str, number: int) -> str:
         """Make the data of one event.
@@ -261,7 +268,7 @@
         return f'{identity}-{number}'
 
     def make_output(self, identity: str) -> str:
-        """Make the whole text of a request.
+        """Make the complete text of a request.
 
         :param identity: id of the request.
         :returns: data of all events, separated by line feeds.
@@ -272,17 +279,17 @@
         )
 
     def _listen(self, host: str, port: int) -> str:
-        self._life = _Life(BoundedSemaphore(self.slots))
+        self._life = _ReplicaProcess(BoundedSemaphore(self.slots))
         self._server = Server(host, port, self._answer)
         self._server.start()
         return self._server.address
 
-    def _begin_again(self, host: str, port: int) -> None:
+    def _restart(self, host: str, port: int) -> None:
         base = self.name.partition('.')[0]
         self.name = f'{base}.{len(self.ended_by)}'
         self._listen(host, port)
-        for door in self.doors:
-            door.reopen()
+        for frontend in self.frontends:
+            frontend.reopen()
         self.is_leaving = False
         gevent.spawn_later(
             self.register_seconds,
@@ -293,7 +300,7 @@
     def _answer(self, request: Request) -> Response:
         self._life.connections.add(request.connection)
         while self.faults.is_dark:
-            gevent.sleep(DARK_STEP_SECONDS)
+            gevent.sleep(UNRESPONSIVE_STEP_SECONDS)
         if request.path == wire.REPORT_PATH:
             report = UpstreamReport(
                 self.running,
@@ -302,7 +309,7 @@
                 self.incarnation,
             )
             return Response(HTTPStatus.OK, encode_report(report))
-        request.body_limit = MOST_BODY
+        request.body_limit = MAX_BODY_BYTES
         body = request.read_body()
         identity = request.headers[wire.REQUEST_ID.lower()]
         expected = request.headers.get(wire.EXPECTED_INSTANCE.lower())
@@ -345,7 +352,7 @@
         last = int(request.headers.get(wire.RESUME_AFTER.lower(), 0))
         stream = self._stream(identity, last)
         if DEADLY_MARK in body and not self.faults.is_cured:
-            stream = self._die(request, body)
+            stream = self._run_crashing(request, body)
         return Response(HTTPStatus.OK, stream, EVENT_STREAM_TYPE, headers)
 
     def _stream(self, identity: str, last: int) -> Iterator[bytes]:
@@ -357,14 +364,16 @@
             for number in range(last + 1, self.events + 1):
                 gevent.sleep(self.event_seconds)
                 if life.is_over:
-                    raise ConnectionAbortedError('the replica has ended')
+                    raise ConnectionAbortedError('the replica has crashed')
                 if is_broken and number > self.events // 2:
-                    raise ConnectionAbortedError('broken on purpose')
+                    raise ConnectionAbortedError(
+                        'stream broken by an injected fault'
+                    )
                 text = self.make_text(identity, number)
                 yield f'id: {number}\ndata: {text}\n\n'.encode()
 
-    def _die(self, request: Request, body: bytes) -> Iterator[bytes]:
-        """End the replica under a request that runs."""
+    def _run_crashing(self, request: Request, body: bytes) -> Iterator[bytes]:
+        """Run a request that crashes the replica."""
         life = self._life
         host = request.headers['host']
         fingerprint = digest_request(
@@ -376,18 +385,18 @@
         )
         with ExitStack() as stack:
             _enter_slot(life, stack)
-            run = DeadlyRun(fingerprint, time.monotonic())
-            self.deadly_runs.append(run)
+            run = CrashingRun(fingerprint, time.monotonic())
+            self.crashing_runs.append(run)
             gevent.sleep(DEADLY_SECONDS)
             if not life.is_over:
-                run.ended_at = time.monotonic()
+                run.crashed_at = time.monotonic()
                 self.end(fingerprint)
             yield b''
-            raise ConnectionAbortedError('the replica has ended')
+            raise ConnectionAbortedError('the replica has crashed')
 
 
-def _enter_slot(life: _Life, stack: ExitStack) -> None:
-    """Wait for a slot, and hold it as long as the stack."""
+def _enter_slot(life: _ReplicaProcess, stack: ExitStack) -> None:
+    """Wait for a slot and release it when the stack is closed."""
     life.waiting += 1
     stack.enter_context(life.gate)
     life.waiting -= 1
--- a/src/wigeonpier/bench/soakcallers.py
+++ b/src/wigeonpier/bench/soakcallers.py
@@ -1,4 +1,4 @@
-"""Callers of the fault soak: they use the daemons and check what they see."""
+"""Callers of the fault soak, which send load and check the answers."""
 
 from __future__ import annotations
 
@@ -29,28 +29,28 @@
 HOST = 'soak.example'
 SERVICE = 'assistant'
 DATA_CENTRE = 'a'
-CALL_SECONDS = 6.0
-QUESTION_GAP = (0.01, 0.12)
-JOB_GAP = (0.3, 1.2)
-READ_GAP = (0.1, 0.5)
-ITEMS = 5
+CALL_TIMEOUT_SECONDS = 6.0
+REQUEST_GAP_SECONDS = (0.01, 0.12)
+JOB_GAP_SECONDS = (0.3, 1.2)
+READ_GAP_SECONDS = (0.1, 0.5)
+ITEMS_PER_JOB = 5
 OK = 200
 ACCEPTED = 202
-# These say that nothing has run, nor ever will.
+# Statuses which state that the request did not run and will not run.
 NOT_RUN = frozenset((408, 421, 429, 503))
-ATTEMPTS = 2
-SHARED_ONE_IN = 5
-# Requests under this path may run once at most.
-ONCE = '/once/'
+MAX_SUBMISSIONS = 2
+SHARED_BODY_INTERVAL = 5
+# Requests under this path run at most once.
+RUN_ONCE_PREFIX = '/once/'
 
 
 @dataclass(frozen=True, slots=True)
 class SoakAnswer:
-    """What a caller got for a question.
+    """Answer to an online request.
 
-    :param path: path that was asked.
-    :param status: its status, 0 for no answer.
-    :param body: its bytes.
+    :param path: path of the request.
+    :param status: status, 0 for no answer.
+    :param body: body of the answer.
     """
 
     path: str
@@ -60,10 +60,10 @@
 
 @dataclass(slots=True)
 class SoakJob:
-    """One job as its caller knows it.
+    """One job from the view of its caller.
 
-    :param name: its id.
-    :param statuses: answers to each time it was handed in, 0 for none.
+    :param name: id of the job.
+    :param statuses: status of each submission, 0 for no answer.
     :param results: results by position, as first read.
     """
 
@@ -73,63 +73,63 @@
 
     @property
     def is_accepted(self) -> bool:
-        """Tell whether the system has to keep it."""
+        """Return whether a submission was accepted."""
         return ACCEPTED in self.statuses
 
 
 class SoakCallers:
-    """Asks, hands jobs in and reads them, at any entry."""
+    """Sends requests, submits jobs and reads results at random entries."""
 
     def __init__(
         self,
         entries: list[HostedProcess],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Call the entries once started."""
+        """Create callers of the entries; they do nothing until `start`."""
         self.jobs: list[SoakJob] = []
-        # Key of a customer, empty where nobody needs one.
+        # Key of the customer, empty where keys are not required.
         self.key = ''
         self._entries = entries
-        self._draw = draw
+        self._rng = rng
         self._pool = ConnectionPool()
         self._outcomes: dict[str, SoakAnswer] = {}
-        self._broken: list[str] = []
-        self._deadly = 0
-        self._is_over = False
+        self._violations: list[str] = []
+        self._crashing_count = 0
+        self._is_stopped = False
         self._greenlets: list[gevent.Greenlet[..., None]] = []
 
     def is_ready(self) -> bool:
-        """Tell whether each entry serves."""
+        """Return whether each entry answers requests."""
         return all(
-            self._ask('/ask/ready', f'ready{number}', entry) == OK
+            self._send('/ask/ready', f'ready{number}', entry) == OK
             for number, entry in enumerate(self._entries)
         )
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start sending load."""
         self._greenlets = [
-            gevent.spawn(self._ask_on),
-            gevent.spawn(self._hand_in_on),
-            spawn_loop('readers', self._read_on),
+            gevent.spawn(self._send_requests),
+            gevent.spawn(self._submit_jobs),
+            spawn_loop('readers', self._read_jobs),
         ]
 
     def finish(self, seconds: float) -> None:
-        """Ask for nothing new, and read until all jobs have ended.
+        """Stop sending new load and read results until all jobs have ended.
 
-        :param seconds: longest wait.
+        :param seconds: maximum wait.
         """
-        self._is_over = True
+        self._is_stopped = True
         gevent.joinall(self._greenlets[:2])
-        give_up = time.monotonic() + seconds
-        while time.monotonic() < give_up and self._list_open():
-            gevent.sleep(READ_GAP[1])
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline and self._list_unfinished():
+            gevent.sleep(READ_GAP_SECONDS[1])
         gevent.killall(self._greenlets)
 
-    def find_broken(self, replicas: list[StandInReplica]) -> list[str]:
-        """Find what callers and upstreams saw that must never be.
+    def find_violations(self, replicas: list[StandInReplica]) -> list[str]:
+        """Check the observations of callers and upstreams.
 
-        :param replicas: upstreams, which count their runs.
-        :returns: each broken promise in words.
+        :param replicas: upstreams, which count the runs of each request.
+        :returns: description of each violated invariant.
         """
         runs: Counter[str] = Counter()
         for replica in replicas:
@@ -144,58 +144,58 @@
             for name, answer in self._outcomes.items()
         ]
         found += [check_job(job, replicas[0], runs) for job in self.jobs]
-        return self._broken + list(chain.from_iterable(found))
+        return self._violations + list(chain.from_iterable(found))
 
     def count_outcomes(self) -> dict[str, int]:
-        """Count answers to questions by status, 0 for none."""
+        """Count answers to online requests by status, 0 for no answer."""
         statuses = (answer.status for answer in self._outcomes.values())
         return {
             str(status): count for status, count in Counter(statuses).items()
         }
 
     def count_jobs(self) -> dict[str, int]:
-        """Count jobs by whether they were accepted."""
+        """Count accepted and other jobs."""
         accepted = len([job for job in self.jobs if job.is_accepted])
         return {'accepted': accepted, 'not': len(self.jobs) - accepted}
 
-    def ask_deadly(self, path: str, body: bytes) -> int:
-        """Ask for what ends replicas, at any entry.
+    def send_crashing(self, path: str, body: bytes) -> int:
+        """Send a request that crashes replicas to a random entry.
 
-        :param path: where to.
-        :param body: what ends them.
+        :param path: path of the request.
+        :param body: body that triggers the crash.
         :returns: the status, 0 for no answer.
         """
-        self._deadly += 1
-        entry = self._draw.choice(self._entries)
-        name = f'deadly{self._deadly}'
+        self._crashing_count += 1
+        entry = self._rng.choice(self._entries)
+        name = f'deadly{self._crashing_count}'
         reply = self._call(entry, 'POST', path, name, body)
         return reply.status if reply else 0
 
-    def ask_with(self, key: str, path: str, name: str) -> None:
-        """Ask with a key, at any entry; the answer is not checked.
+    def send_with_key(self, key: str, path: str, name: str) -> None:
+        """Send a request with a key to a random entry and ignore the answer.
 
-        :param key: the key.
-        :param path: where to.
+        :param key: key of a customer.
+        :param path: path of the request.
         :param name: id of the request.
         """
-        entry = self._draw.choice(self._entries)
+        entry = self._rng.choice(self._entries)
         self._call(entry, 'POST', path, name, key=key)
 
-    def _ask_on(self) -> None:
-        asking: list[gevent.Greenlet[..., int]] = []
-        while not self._is_over:
-            number = len(asking)
-            path = self._draw.choice(('/ask/q', '/once/q'))
-            entry = self._draw.choice(self._entries)
-            asking.append(
-                gevent.spawn(self._ask, path, f'q{number}', entry),
+    def _send_requests(self) -> None:
+        sending: list[gevent.Greenlet[..., int]] = []
+        while not self._is_stopped:
+            number = len(sending)
+            path = self._rng.choice(('/ask/q', '/once/q'))
+            entry = self._rng.choice(self._entries)
+            sending.append(
+                gevent.spawn(self._send, path, f'q{number}', entry),
             )
-            gevent.sleep(self._draw.uniform(*QUESTION_GAP))
-        gevent.joinall(asking)
+            gevent.sleep(self._rng.uniform(*REQUEST_GAP_SECONDS))
+        gevent.joinall(sending)
 
-    def _ask(self, path: str, name: str, entry: HostedProcess) -> int:
-        # Most ask for something of their own, some for the same as others.
-        is_shared = not len(self._outcomes) % SHARED_ONE_IN
+    def _send(self, path: str, name: str, entry: HostedProcess) -> int:
+        # Most requests have a body of their own; the others share one body.
+        is_shared = not len(self._outcomes) % SHARED_BODY_INTERVAL
         body = b'' if is_shared else name.encode()
         reply = self._call(entry, 'POST', path, name, body)
         status = reply.status if reply else 0
@@ -206,15 +206,15 @@
         )
         return status
 
-    def _hand_in_on(self) -> None:
-        while not self._is_over:
+    def _submit_jobs(self) -> None:
+        while not self._is_stopped:
             job = SoakJob(f'j{len(self.jobs)}')
             self.jobs.append(job)
-            while len(job.statuses) < ATTEMPTS and not job.is_accepted:
-                self._hand_in(job)
-            gevent.sleep(self._draw.uniform(*JOB_GAP))
+            while len(job.statuses) < MAX_SUBMISSIONS and not job.is_accepted:
+                self._submit(job)
+            gevent.sleep(self._rng.uniform(*JOB_GAP_SECONDS))
 
-    def _hand_in(self, job: SoakJob) -> None:
+    def _submit(self, job: SoakJob) -> None:
         items = [
             {
                 'id': f'{job.name}-{number}',
@@ -222,20 +222,20 @@
                 'body': base64.b64encode(b'{}').decode(),
                 'tokens': 10,
             }
-            for number in range(ITEMS)
+            for number in range(ITEMS_PER_JOB)
         ]
         body = msgspec.json.encode({'items': items})
-        entry = self._draw.choice(self._entries)
+        entry = self._rng.choice(self._entries)
         reply = self._call(entry, 'POST', '/jobs/x', job.name, body)
         job.statuses.append(reply.status if reply else 0)
 
-    def _read_on(self) -> None:
-        for job in self._list_open():
+    def _read_jobs(self) -> None:
+        for job in self._list_unfinished():
             self._read(job)
-        gevent.sleep(self._draw.uniform(*READ_GAP))
+        gevent.sleep(self._rng.uniform(*READ_GAP_SECONDS))
 
     def _read(self, job: SoakJob) -> None:
-        entry = self._draw.choice(self._entries)
+        entry = self._rng.choice(self._entries)
         target = f'{wire.JOB_PATH}{job.name}?after=0'
         reply = self._call(entry, 'GET', target, '')
         if reply is None or reply.status != OK:
@@ -243,15 +243,17 @@
         results = msgspec.json.decode(reply.body)['results']
         common = min(len(results), len(job.results))
         if results[:common] != job.results[:common]:
-            self._broken.append(f'{job.name}: a position holds another result')
+            self._violations.append(
+                f'{job.name}: the result at a position has changed'
+            )
         if len(results) > len(job.results):
             job.results = results
 
-    def _list_open(self) -> list[SoakJob]:
+    def _list_unfinished(self) -> list[SoakJob]:
         return [
             job
             for job in self.jobs
-            if job.is_accepted and len(job.results) < ITEMS
+            if job.is_accepted and len(job.results) < ITEMS_PER_JOB
         ]
 
     def _call(
@@ -269,7 +271,7 @@
         if name:
             headers += [(wire.REQUEST_ID, name), (wire.DEADLINE_MS, '5000')]
         raw = make_request(method, target, headers, body)
-        called: Any = self._pool.call(entry.callers, raw, CALL_SECONDS)
+        called: Any = self._pool.call(entry.callers, raw, CALL_TIMEOUT_SECONDS)
         return None if isinstance(called, Err) else called.ok_value
 
 
@@ -279,30 +281,30 @@
     expected: str,
     runs: int,
 ) -> list[str]:
-    """Check one answer to a question.
+    """Check one answer to an online request.
 
-    :param name: id of the question.
-    :param answer: what its caller got.
-    :param expected: the whole text.
-    :param runs: how often upstreams ran it.
-    :returns: each broken promise in words.
+    :param name: id of the request.
+    :param answer: answer that the caller received.
+    :param expected: complete text.
+    :param runs: number of runs on upstreams.
+    :returns: description of each violated invariant.
     """
-    broken = []
+    violations = []
     texts = [
         line.removeprefix('data: ')
         for line in answer.body.decode().splitlines()
         if line.startswith('data: ')
     ]
     if answer.status == OK and texts != expected.split('\n'):
-        broken.append(f'{name}: an answer is not whole')
+        violations.append(f'{name}: the answer is incomplete or wrong')
     if ErrorKind.ends_upstreams.value.encode() in answer.body:
-        broken.append(f'{name}: turned away for what another one did')
-    if answer.path.startswith(ONCE):
+        violations.append(f'{name}: refused for a crash that it did not cause')
+    if answer.path.startswith(RUN_ONCE_PREFIX):
         if runs > 1:
-            broken.append(f'{name}: ran {runs} times')
+            violations.append(f'{name}: ran {runs} times')
         if answer.status in NOT_RUN and runs:
-            broken.append(f'{name}: refused and ran')
-    return broken
+            violations.append(f'{name}: refused although it ran')
+    return violations
 
 
 def check_job(
@@ -310,23 +312,25 @@
     replica: StandInReplica,
     runs: Counter[str],
 ) -> list[str]:
-    """Check one job at the end.
+    """Check one job after the run.
 
-    :param job: what its caller knows.
-    :param replica: makes the whole texts.
-    :param runs: how often upstreams ran each item.
-    :returns: each broken promise in words.
+    :param job: job from the view of its caller.
+    :param replica: replica that makes the expected texts.
+    :param runs: number of runs of each item on upstreams.
+    :returns: description of each violated invariant.
     """
-    names = [f'{job.name}-{number}' for number in range(ITEMS)]
+    names = [f'{job.name}-{number}' for number in range(ITEMS_PER_JOB)]
     is_refused = set(job.statuses) <= NOT_RUN
     if is_refused and any(runs[name] for name in names):
-        return [f'{job.name}: refused each time and ran']
+        return [f'{job.name}: refused each time although an item ran']
     if not job.is_accepted:
         return []
     if sorted(found['id'] for found in job.results) != names:
-        return [f'{job.name}: has {len(job.results)} results of {ITEMS}']
+        return [
+            f'{job.name}: has {len(job.results)} results of {ITEMS_PER_JOB}'
+        ]
     return [
-        f'{found["id"]}: not its whole text'
+        f'{found["id"]}: the text is incomplete or wrong'
         for found in job.results
         if found['output'] != replica.make_output(found['id'])
     ]
--- a/src/wigeonpier/bench/soakcrashes.py
+++ b/src/wigeonpier/bench/soakcrashes.py
@@ -1,4 +1,7 @@
-"""Replicas that end in the fault soak: under a request, alone, in a release."""
+"""Replica crashes and restarts in the fault soak.
+
+A replica crashes under a request or on its own, or restarts in a release.
+"""
 
 from __future__ import annotations
 
@@ -16,142 +19,145 @@
     import random
     from collections.abc import Callable, Iterable
 
-    from wigeonpier.bench.replica import DeadlyRun, StandInReplica
+    from wigeonpier.bench.replica import CrashingRun, StandInReplica
     from wigeonpier.bench.soakcallers import SoakCallers
     from wigeonpier.bench.soaksite import SoakSite
 
 GAP_SECONDS = (0.4, 1.5)
 RESTART_SECONDS = (0.5, 2.0)
 DRAIN_SECONDS = 0.6
-MOST_DEADLY = 2
-DEADLY_PATHS = ('/ask/deadly', '/ask/deadly', '/once/deadly')
-COME_BACK_SECONDS = 0.2
+MAX_CRASHING = 2
+CRASHING_PATHS = ('/ask/deadly', '/ask/deadly', '/once/deadly')
+RETRY_SECONDS = 0.2
 PAUSE_SECONDS = (0.3, 1.5)
-# A caller does not come back at once after these.
-FINAL = frozenset((200, 400))
-# The stated bound: how long after the third end the news may take, and how
-# often the request may reach a replica after that.
-ENDS = 3
-NEWS_SECONDS = 3.0
-LATE_RUNS = 3
+# A caller does not retry at once after these.
+FINAL_STATUSES = frozenset((200, 400))
+# Stated bound: time after the third crash until all processes know of it, and
+# number of runs of the request after that.
+CONFIRMING_CRASHES = 3
+PROPAGATION_SECONDS = 3.0
+MAX_LATE_RUNS = 3
 
 
 @dataclass
 class SoakCrashes:
-    """Ends replicas, and comes back with requests that do.
+    """Crashes replicas, and sends requests that crash them repeatedly.
 
-    :param site: what is harmed.
-    :param callers: ask for something else meanwhile.
-    :param draw: chooses what and when.
-    :param deadly: requests that end replicas so far.
+    :param site: site under test.
+    :param callers: callers that send the crashing requests.
+    :param rng: chooses faults and times.
+    :param crashing_count: number of different crashing requests.
+    :param counts: number of injected faults by name.
     """
 
     site: SoakSite
     callers: SoakCallers
-    draw: random.Random
-    deadly: int = 0
+    rng: random.Random
+    crashing_count: int = 0
     counts: Counter[str] = field(default_factory=Counter)
-    _repeating: list[gevent.Greenlet[..., None]] = field(default_factory=list)
+    _callers: list[gevent.Greenlet[..., None]] = field(default_factory=list)
 
     def run(self, seconds: float) -> None:
-        """Do harm until the time is up.
+        """Inject faults.
 
-        :param seconds: how long.
+        :param seconds: duration.
         """
-        give_up = time.monotonic() + seconds
-        kinds: tuple[tuple[str, Callable[[], object]], ...] = (
-            ('deadly request', partial(self._begin_deadly, give_up)),
-            ('replica ended', self._end_replica),
+        deadline = time.monotonic() + seconds
+        faults: tuple[tuple[str, Callable[[], object]], ...] = (
+            ('deadly request', partial(self._start_crashing, deadline)),
+            ('replica ended', self._crash_replica),
             ('replica released', self._release_replica),
         )
-        # One comes at once, so that no run is without any.
-        self._begin_deadly(give_up)
-        while time.monotonic() < give_up:
-            gevent.sleep(self.draw.uniform(*GAP_SECONDS))
-            name, harm = self.draw.choice(kinds)
+        # Starts at once, so that each run has a crashing request.
+        self._start_crashing(deadline)
+        while time.monotonic() < deadline:
+            gevent.sleep(self.rng.uniform(*GAP_SECONDS))
+            name, inject = self.rng.choice(faults)
             self.counts[name] += 1
-            harm()
-        gevent.joinall(self._repeating)
+            inject()
+        gevent.joinall(self._callers)
 
-    def _begin_deadly(self, give_up: float) -> None:
-        if self.deadly >= MOST_DEADLY:
+    def _start_crashing(self, deadline: float) -> None:
+        if self.crashing_count >= MAX_CRASHING:
             return
-        self.deadly += 1
-        body = b'%s %d' % (DEADLY_MARK, self.deadly)
-        path = self.draw.choice(DEADLY_PATHS)
-        self._repeating.append(
-            gevent.spawn(self._repeat, path, body, give_up),
+        self.crashing_count += 1
+        body = b'%s %d' % (DEADLY_MARK, self.crashing_count)
+        path = self.rng.choice(CRASHING_PATHS)
+        self._callers.append(
+            gevent.spawn(self._repeat_request, path, body, deadline),
         )
 
-    def _repeat(self, path: str, body: bytes, give_up: float) -> None:
-        """Come twice, pause, and come again, at any entry."""
-        while time.monotonic() < give_up:
-            status = self.callers.ask_deadly(path, body)
-            if status not in FINAL:
-                gevent.sleep(COME_BACK_SECONDS)
-                self.callers.ask_deadly(path, body)
-            gevent.sleep(self.draw.uniform(*PAUSE_SECONDS))
-
-    def _end_replica(self) -> None:
-        replica = self.draw.choice(self.site.replicas)
-        replica.restart_seconds = self.draw.uniform(*RESTART_SECONDS)
+    def _repeat_request(self, path: str, body: bytes, deadline: float) -> None:
+        """Send the request, retry it once, pause, and start over."""
+        while time.monotonic() < deadline:
+            status = self.callers.send_crashing(path, body)
+            if status not in FINAL_STATUSES:
+                gevent.sleep(RETRY_SECONDS)
+                self.callers.send_crashing(path, body)
+            gevent.sleep(self.rng.uniform(*PAUSE_SECONDS))
+
+    def _crash_replica(self) -> None:
+        replica = self.rng.choice(self.site.replicas)
+        replica.restart_seconds = self.rng.uniform(*RESTART_SECONDS)
         replica.end()
 
     def _release_replica(self) -> None:
-        replica = self.draw.choice(self.site.replicas)
-        gevent.spawn(_release, replica)
+        replica = self.rng.choice(self.site.replicas)
+        gevent.spawn(_release_gracefully, replica)
 
 
-def _release(replica: StandInReplica) -> None:
-    """Replace a replica by one of the same version, as in a rolling restart."""
+def _release_gracefully(replica: StandInReplica) -> None:
+    """Drain and restart a replica, as a rolling restart does."""
     if not replica.is_up or replica.is_leaving:
         return
     name = replica.name
     replica.announce(is_leaving=True)
     gevent.sleep(DRAIN_SECONDS)
-    # It may have ended by itself meanwhile.
+    # It may have crashed in the meantime.
     if replica.name == name:
         replica.end()
     replica.is_leaving = False
 
 
-def check_deadly(runs: Iterable[DeadlyRun]) -> list[str]:
-    """Check how often requests that end replicas reached them.
+def check_crashing_runs(runs: Iterable[CrashingRun]) -> list[str]:
+    """Check how often crashing requests ran after they were identified.
 
-    :param runs: their runs at all replicas.
-    :returns: each broken promise in words.
+    :param runs: their runs on all replicas.
+    :returns: description of each violated invariant.
     """
-    broken = []
-    for fingerprint, own in _group_runs(runs).items():
-        ends = sorted(run.ended_at for run in own if run.ended_at)
-        if len(ends) < ENDS:
+    violations = []
+    for fingerprint, request_runs in _group_runs(runs).items():
+        crash_times = sorted(
+            run.crashed_at for run in request_runs if run.crashed_at
+        )
+        if len(crash_times) < CONFIRMING_CRASHES:
             continue
-        known_by = ends[ENDS - 1] + NEWS_SECONDS
-        late = [run for run in own if run.began_at > known_by]
-        if len(late) > LATE_RUNS:
-            broken.append(
-                f'{fingerprint}: {len(late)} runs after {len(ends)} ends',
+        known_at = crash_times[CONFIRMING_CRASHES - 1] + PROPAGATION_SECONDS
+        late = [run for run in request_runs if run.started_at > known_at]
+        if len(late) > MAX_LATE_RUNS:
+            violations.append(
+                f'{fingerprint}: {len(late)} runs after {len(crash_times)} crashes',
             )
-    return broken
+    return violations
 
 
-def count_ends(runs: Iterable[DeadlyRun]) -> list[int]:
-    """Count the replicas that ended under each deadly request.
+def count_crashes(runs: Iterable[CrashingRun]) -> list[int]:
+    """Count the replica crashes under each crashing request.
 
-    :param runs: their runs at all replicas.
-    :returns: a count for each request, largest first.
+    :param runs: their runs on all replicas.
+    :returns: number of crashes of each request, largest first.
     """
     return sorted(
         (
-            sum(bool(run.ended_at) for run in own)
-            for own in _group_runs(runs).values()
+            sum(bool(run.crashed_at) for run in request_runs)
+            for request_runs in _group_runs(runs).values()
         ),
         reverse=True,
     )
 
 
-def _group_runs(runs: Iterable[DeadlyRun]) -> dict[str, list[DeadlyRun]]:
-    grouped: dict[str, list[DeadlyRun]] = {}
+def _group_runs(runs: Iterable[CrashingRun]) -> dict[str, list[CrashingRun]]:
+    grouped: dict[str, list[CrashingRun]] = {}
     for run in runs:
         grouped.setdefault(run.fingerprint, []).append(run)
     return grouped
--- a/src/wigeonpier/bench/soaksite.py
+++ b/src/wigeonpier/bench/soaksite.py
@@ -1,4 +1,4 @@
-"""The site of the fault soak: real daemons before stand-ins, by processes."""
+"""Site of the fault soak: daemons as processes, stand-ins for the rest."""
 
 from __future__ import annotations
 
@@ -7,10 +7,14 @@
 from typing import TYPE_CHECKING
 
 from wigeonpier.bench.processes import HostedProcess, take_port
-from wigeonpier.bench.proxy import Harm, HarmingProxy
-from wigeonpier.bench.replica import DeadlyRun, ReceivedRequest, StandInReplica
+from wigeonpier.bench.proxy import HarmingProxy, ProxyFault
+from wigeonpier.bench.replica import (
+    CrashingRun,
+    ReceivedRequest,
+    StandInReplica,
+)
 from wigeonpier.bench.soakcallers import DATA_CENTRE, HOST, SERVICE
-from wigeonpier.bench.store import MOST_BODY, StandInStore
+from wigeonpier.bench.store import MAX_BODY_BYTES, StandInStore
 from wigeonpier.platform.operator import (
     CONFIGURATION_KEY,
     encode_configuration,
@@ -27,23 +31,23 @@
     from pathlib import Path
 
 DISKS = 3
-FIRST_VM = 2
-# An answer takes 0.4 s, so that faults meet it midway.
+FIRST_VM_NUMBER = 2
+# An answer takes 0.4 s, so that faults hit it while it is streamed.
 EVENTS = 20
 EVENT_SECONDS = 0.02
 TIMEOUT_SECONDS = 5.0
 OBJECTIVE_SECONDS = 0.3
 RUN_SECONDS = 18.0
-# No item may be given up for its age while faults go on.
+# Longer than a run, so that no item expires while faults are injected.
 RETENTION_SECONDS = 120.0
 
 
 @dataclass(frozen=True, slots=True)
 class SoakSize:
-    """How many there are of what.
+    """Size of a site.
 
-    :param entries: entries.
-    :param replicas: replicas, each with a worker beside it.
+    :param entries: number of entries.
+    :param replicas: number of replicas, each with its own worker.
     """
 
     entries: int = 2
@@ -54,94 +58,95 @@
 class SoakSite:
     """Processes and stand-ins of one run.
 
-    :param folder: settings, logs and disks.
-    :param size: how many there are.
-    :param store: stand-in of the store; each process has its own way to it.
+    :param folder: folder for settings, logs and disks.
+    :param size: number of processes.
+    :param store: stand-in of the store; each process reaches it through its
+        own proxy.
     :param replicas: stand-ins of replicas.
-    :param ways: the way to each replica, for all that call it.
+    :param proxies: proxy in front of each replica, used by all callers.
     :param processes: the daemons.
-    :param peers: port of all VMs for other processes of the system.
-    :param version: newest configuration.
-    :param starts: starts of replicas so far.
-    :param customers: by key, ``None`` where nobody needs one.
+    :param peers: port for other processes of the system, same on all VMs.
+    :param version: version of the newest configuration.
+    :param start_count: number of replica starts.
+    :param customers: customers by key, ``None`` where keys are not required.
     """
 
     folder: Path
     size: SoakSize = field(default_factory=SoakSize)
     store: StandInStore = field(default_factory=StandInStore)
     replicas: list[StandInReplica] = field(default_factory=list)
-    ways: list[HarmingProxy] = field(default_factory=list)
+    proxies: list[HarmingProxy] = field(default_factory=list)
     processes: list[HostedProcess] = field(default_factory=list)
     peers: int = field(default_factory=take_port)
     version: int = 1
-    starts: int = 0
+    start_count: int = 0
     customers: dict[str, ServedCustomer] | None = None
     _store_address: str = ''
 
     @property
     def entries(self) -> list[HostedProcess]:
-        """Give the entries."""
+        """List the entry processes."""
         return [one for one in self.processes if one.role == 'entry']
 
     def start(self) -> None:
-        """Start everything; it is not ready yet."""
+        """Start all processes without waiting until they are ready."""
         self._store_address = self.store.start()
         self.configure()
         for number in range(self.size.replicas):
             self._add_replica(number)
         for number in range(self.size.entries):
-            self._add('entry', f'edge-{number}')
+            self._add_process('entry', f'edge-{number}')
         for number in range(DISKS):
-            self._add('storage', f'storage-{number}')
+            self._add_process('storage', f'storage-{number}')
         for process in self.processes:
             process.start()
 
     def stop(self) -> None:
-        """End everything that this run started."""
+        """Stop everything that this run started."""
         for process in self.processes:
             process.kill()
             process.store.stop()
-        for way in self.ways:
-            way.stop()
+        for proxy in self.proxies:
+            proxy.stop()
         for replica in self.replicas:
             replica.stop()
         self.store.stop()
 
     def heal(self) -> None:
-        """End all harm, and start what is down."""
+        """Remove all faults and resume paused processes."""
         self.store.faults.is_down = False
         self.store.faults.lost_writes = 0
-        for way in self.ways:
-            way.harm = Harm.none
+        for proxy in self.proxies:
+            proxy.fault = ProxyFault.none
         for process in self.processes:
-            process.store.harm = Harm.none
+            process.store.fault = ProxyFault.none
             process.send(signal.SIGCONT)
         for replica in self.replicas:
             replica.faults.break_after = 0
             replica.faults.turn_away = 0
 
     def start_missing(self) -> None:
-        """Start each process that is down."""
+        """Start each process that is not running."""
         for process in self.processes:
             if not process.is_running:
                 process.start()
 
-    def list_runs(self) -> list[ReceivedRequest]:
+    def list_received(self) -> list[ReceivedRequest]:
         """List the requests that replicas ran.
 
-        :returns: those at all replicas.
+        :returns: requests of all replicas.
         """
         return [run for one in self.replicas for run in one.received]
 
-    def list_deadly_runs(self) -> list[DeadlyRun]:
-        """List the runs of requests that end replicas.
+    def list_crashing_runs(self) -> list[CrashingRun]:
+        """List the runs of requests that crash replicas.
 
-        :returns: those at all replicas.
+        :returns: runs on all replicas.
         """
-        return [run for one in self.replicas for run in one.deadly_runs]
+        return [run for one in self.replicas for run in one.crashing_runs]
 
     def configure(self) -> None:
-        """Write the configuration as the operator does."""
+        """Write the configuration in the way the operator does."""
         routes = (
             _make_route(RouteKind.stream, '/ask/', tries=2),
             _make_route(RouteKind.stream, '/once/', tries=1),
@@ -150,45 +155,45 @@
         configuration = ServedConfiguration(
             self.version,
             routes,
-            MOST_BODY,
+            MAX_BODY_BYTES,
             self.customers,
         )
         self.store.put(CONFIGURATION_KEY, encode_configuration(configuration))
 
     def restart_replica(self, replica: StandInReplica) -> None:
-        """Give a replica a new id, as each start does.
+        """Register a replica under a new id, as each start does.
 
         :param replica: the replica.
         """
         self.store.remove(name_replica(replica.name))
-        replica.name = self._name_start()
+        replica.name = self._make_replica_name()
         replica.register(DATA_CENTRE)
 
-    def _name_start(self) -> str:
-        self.starts += 1
-        return f'i-{self.starts}'
+    def _make_replica_name(self) -> str:
+        self.start_count += 1
+        return f'i-{self.start_count}'
 
     def _add_replica(self, number: int) -> None:
         replica = StandInReplica(
-            self._name_start(),
+            self._make_replica_name(),
             SERVICE,
             self.store,
             events=EVENTS,
             event_seconds=EVENT_SECONDS,
         )
-        # The process beside an upstream is found at the upstream's VM.
-        vm = FIRST_VM + number
+        # A worker is addressed at the VM of its upstream.
+        vm = FIRST_VM_NUMBER + number
         ip = f'127.0.0.{vm}'
         replica.start(DATA_CENTRE, ip)
-        way = HarmingProxy(replica.address, ip)
-        replica.address = way.address
-        replica.doors.append(way)
+        proxy = HarmingProxy(replica.address, ip)
+        replica.address = proxy.address
+        replica.frontends.append(proxy)
         replica.register(DATA_CENTRE)
-        self.ways.append(way)
+        self.proxies.append(proxy)
         self.replicas.append(replica)
-        self._add('worker', f'side-{number}', replica.address, ip)
+        self._add_process('worker', f'side-{number}', replica.address, ip)
 
-    def _add(
+    def _add_process(
         self,
         role: str,
         name: str,
@@ -203,7 +208,7 @@
             upstream,
             SERVICE,
             ip,
-            # Storage shares the address of the entries, and needs its own.
+            # Storage has the same IP as the entries, so it needs its own port.
             0 if role == 'storage' else self.peers,
         )
         process.prepare()
--- a/tests/bench/test_faultsoak.py
+++ b/tests/bench/test_faultsoak.py
@@ -1,4 +1,4 @@
-"""The soak of real processes, and that its checks see what they watch."""
+"""Short runs of the fault soak, and tests of its checks."""
 
 from __future__ import annotations
 
@@ -7,61 +7,61 @@
 import pytest
 
 from wigeonpier.bench.faultsoak import run_fault_soak
-from wigeonpier.bench.replica import DeadlyRun, StandInReplica
+from wigeonpier.bench.replica import CrashingRun, StandInReplica
 from wigeonpier.bench.soakcallers import (
-    ITEMS,
+    ITEMS_PER_JOB,
     SoakAnswer,
     SoakJob,
     check_answer,
     check_job,
 )
-from wigeonpier.bench.soakcrashes import check_deadly, count_ends
+from wigeonpier.bench.soakcrashes import check_crashing_runs, count_crashes
 from wigeonpier.bench.store import StandInStore
 
-# Seeds that ever failed, each with a line on its cause.
+# Seeds that failed in the past, each with its cause.
 REGRESSION_SEEDS = (
-    # A worker was ended by SIGHUP while it started and nobody started it
-    # again, and the stand-in gave the id of its lease to another process, so
-    # that it stayed a member and its items were never moved.
+    # SIGHUP terminated a worker during its start and it was not restarted.  The
+    # store stand-in reused the id of its lease for another process, so that the
+    # worker stayed a member and its items were never reassigned.
     26,
 )
-# Of runs in which all processes were killed while the store was away.
-FORGETFUL_SEEDS = (
-    # A verdict was to be written with the next read of the board, up to 20 s
-    # after the store's return, and was lost before; four more runs followed.
+# Seeds of runs in which all processes were killed during a store outage.
+LOST_VERDICT_SEEDS = (
+    # A verdict was only written with the next read of the board, up to 20 s
+    # after the end of the outage, and was lost before; four more runs followed.
     204,
-    # Three questions with the same content were refused for what another one
-    # did, and for upstreams that ended by themselves.
+    # Three online requests with the same content were refused because of
+    # another request, and of upstreams that crashed by themselves.
     312,
-    # The store was away from the verdict until all processes were killed.
+    # The store was unreachable from the verdict until the kill of all processes.
     420,
 )
-# Of runs in which accepted jobs never got their results.
-UNFINISHED_SEEDS = (
-    # The process beside an upstream sent items to an earlier start of it, all
-    # of which were refused.
+# Seeds of runs in which accepted jobs never received their results.
+UNFINISHED_JOB_SEEDS = (
+    # A worker addressed items to an earlier start of its upstream, which refused
+    # all of them.
     5116,
-    # Five items of the same content were taken for the cause of ends that came
-    # 0.12 and 0.22 s into their runs.
+    # Five items with the same content were identified as the cause of crashes
+    # that occurred 0.12 s and 0.22 s into their runs.
     6049,
 )
 SHORT_SEED = 4
 SHORT_SECONDS = 5.0
-# How long the runs were that found something.
-FOUND_SECONDS = 8.0
+# Duration of the runs that found the faults.
+REGRESSION_SECONDS = 8.0
 BODY = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n'
 
 
 @pytest.mark.parametrize('seed', [SHORT_SEED, *REGRESSION_SEEDS])
-def test_nothing_is_broken_under_drawn_faults(seed: int, tmp_path) -> None:
+def test_invariants_hold_under_random_faults(seed: int, tmp_path) -> None:
     report = run_fault_soak(seed, SHORT_SECONDS, tmp_path)
     assert not report.broken
     assert report.jobs['accepted']
     assert report.questions['200']
 
 
-def test_nothing_is_broken_while_replicas_end(tmp_path) -> None:
-    """Some of them under requests that end whatever runs them."""
+def test_invariants_hold_while_replicas_crash(tmp_path) -> None:
+    """Some replicas crash under requests that crash every replica."""
     report = run_fault_soak(
         SHORT_SEED,
         SHORT_SECONDS,
@@ -73,8 +73,8 @@
     assert report.questions['200']
 
 
-def test_nothing_is_broken_with_customers(tmp_path) -> None:
-    """Keys come and go, one customer asks far beyond its limit."""
+def test_invariants_hold_with_customers(tmp_path) -> None:
+    """Keys are rotated, and one customer exceeds its rate limit by far."""
     report = run_fault_soak(
         SHORT_SEED,
         SHORT_SECONDS,
@@ -86,32 +86,36 @@
     assert report.questions['200']
 
 
-@pytest.mark.parametrize('seed', FORGETFUL_SEEDS)
-def test_what_all_processes_knew_is_not_lost_with_them(
+@pytest.mark.parametrize('seed', LOST_VERDICT_SEEDS)
+def test_verdicts_survive_a_kill_of_all_processes(
     seed: int,
     tmp_path,
 ) -> None:
-    report = run_fault_soak(seed, FOUND_SECONDS, tmp_path, has_crashes=True)
+    report = run_fault_soak(
+        seed, REGRESSION_SECONDS, tmp_path, has_crashes=True
+    )
     assert not report.broken
 
 
-@pytest.mark.parametrize('seed', UNFINISHED_SEEDS)
+@pytest.mark.parametrize('seed', UNFINISHED_JOB_SEEDS)
 def test_accepted_jobs_finish_while_replicas_crash(
     seed: int,
     tmp_path,
 ) -> None:
-    report = run_fault_soak(seed, FOUND_SECONDS, tmp_path, has_crashes=True)
+    report = run_fault_soak(
+        seed, REGRESSION_SECONDS, tmp_path, has_crashes=True
+    )
     assert not report.broken
 
 
-def test_runs_of_a_deadly_request_are_counted_by_the_stated_bound() -> None:
-    ends = [DeadlyRun('d', number, number + 0.1) for number in range(1, 4)]
-    soon = [DeadlyRun('d', 6.0) for _ in range(9)]
-    assert not check_deadly(ends + soon)
-    late = [DeadlyRun('d', 6.2 + number) for number in range(4)]
-    assert not check_deadly(ends + late[:3])
-    assert check_deadly(ends + late)
-    assert count_ends(ends + late) == [3]
+def test_runs_of_a_crashing_request_are_limited() -> None:
+    crashes = [CrashingRun('d', number, number + 0.1) for number in range(1, 4)]
+    early = [CrashingRun('d', 6.0) for _ in range(9)]
+    assert not check_crashing_runs(crashes + early)
+    late = [CrashingRun('d', 6.2 + number) for number in range(4)]
+    assert not check_crashing_runs(crashes + late[:3])
+    assert check_crashing_runs(crashes + late)
+    assert count_crashes(crashes + late) == [3]
 
 
 @pytest.mark.parametrize(
@@ -123,34 +127,34 @@
         ('/once/', 503, b'', 1),
     ],
 )
-def test_a_broken_answer_is_seen(path, status, body, runs) -> None:
+def test_invalid_answer_is_detected(path, status, body, runs) -> None:
     assert check_answer('q', SoakAnswer(path, status, body), 'a\nb', runs)
 
 
-def test_sound_answers_are_not_blamed() -> None:
+def test_valid_answer_is_accepted() -> None:
     assert not check_answer('q', SoakAnswer('/once/', 200, BODY), 'a\nb', 1)
     assert not check_answer('q', SoakAnswer('/once/', 503, b''), 'a\nb', 0)
     assert not check_answer('q', SoakAnswer('/once/', 0, b''), 'a\nb', 1)
 
 
 def build_job(replica: StandInReplica, statuses: list[int]) -> SoakJob:
-    """Make a job with all its results."""
-    names = [f'j-{number}' for number in range(ITEMS)]
+    """Make a job with a complete list of results."""
+    names = [f'j-{number}' for number in range(ITEMS_PER_JOB)]
     results = [
         {'id': name, 'output': replica.make_output(name)} for name in names
     ]
     return SoakJob('j', statuses, results)
 
 
-def test_broken_jobs_are_seen_and_sound_ones_are_not() -> None:
+def test_invalid_jobs_are_detected_and_valid_ones_accepted() -> None:
     replica = StandInReplica('i', 's', StandInStore())
     none: Counter[str] = Counter()
     assert not check_job(build_job(replica, [202]), replica, none)
     missing = build_job(replica, [202])
     missing.results.pop()
-    spoilt = build_job(replica, [202])
-    spoilt.results[0]['output'] = 'x'
-    for job in (missing, spoilt):
+    altered = build_job(replica, [202])
+    altered.results[0]['output'] = 'x'
+    for job in (missing, altered):
         assert check_job(job, replica, none)
     refused = build_job(replica, [503, 429])
     assert check_job(refused, replica, Counter({'j-0': 1}))
--- a/tests/bench/test_replica.py
+++ b/tests/bench/test_replica.py
@@ -1,4 +1,4 @@
-"""The stand-in of a replica ends as a process does."""
+"""Tests of the stand-in replica."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from wigeonpier.web.pool import ConnectionPool, Listening
 
 
-def test_a_deadly_request_ends_a_replica_that_comes_back() -> None:
-    """All that it runs ends with it, and its address refuses meanwhile."""
+def test_crashing_request_crashes_a_replica_that_restarts() -> None:
+    """Other requests fail with it, and its address refuses connections."""
     replica = StandInReplica('i', 's', StandInStore(), event_seconds=0.05)
     replica.restart_seconds = 0.3
     address = replica.start('a')
@@ -25,11 +25,11 @@
         5,
     )
     gevent.sleep(0.1)
-    deadly = make_request('POST', '/b', headers, DEADLY_MARK)
-    assert pool.call(address, deadly, 5).is_err()
+    crashing = make_request('POST', '/b', headers, DEADLY_MARK)
+    assert pool.call(address, crashing, 5).is_err()
     assert other.get().is_err()
     assert pool.find_listener(address, 1) is Listening.refused
-    wait_for(lambda: replica.is_up, 'it is back')
+    wait_for(lambda: replica.is_up, 'the replica has restarted')
     assert replica.name == 'i.1'
     assert len(replica.ended_by) == 1
     again = make_request('POST', '/a', headers, b'other')
