--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -14,7 +14,7 @@
 
 from wigeonpier.policy.incarnation import name_start
 from wigeonpier.policy.suspicion import Standing
-from wigeonpier.policy.trial import Company, Verdict
+from wigeonpier.policy.trial import IsolationLevel, Verdict
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -34,8 +34,8 @@
 # other suspected request runs at the upstream.
 ISOLATION_BY_RUN_MODE = MappingProxyType(
     {
-        Standing.apart: Company.latecomers,
-        Standing.alone: Company.nobody,
+        Standing.apart: IsolationLevel.admits_later,
+        Standing.alone: IsolationLevel.exclusive,
     }
 )
 
@@ -93,8 +93,10 @@
         """
         now = time.monotonic()
         for work in running:
-            if work.isolation == Company.nobody:
-                self.trials.enter(work.fingerprint, Company.nobody, now)
+            if work.isolation == IsolationLevel.exclusive:
+                self.trials.enter(
+                    work.fingerprint, IsolationLevel.exclusive, now
+                )
             elif self.trials.is_older(
                 work.fingerprint, now - CRASH_WINDOW_SECONDS
             ):
@@ -126,7 +128,7 @@
                 work.fingerprint,
                 start,
                 replica.version,
-                was_alone=work.isolation == Company.nobody,
+                was_alone=work.isolation == IsolationLevel.exclusive,
                 had_output=work.has_new_events,
             )
             self.quarantine.note(work.fingerprint)
--- a/src/wigeonpier/hosted/reservations.py
+++ b/src/wigeonpier/hosted/reservations.py
@@ -17,7 +17,7 @@
     SlotUse,
     may_reserve,
 )
-from wigeonpier.policy.trial import Company, Verdict
+from wigeonpier.policy.trial import IsolationLevel, Verdict
 from wigeonpier.web.messages import JSON_TYPE, Request, Response, decode_body
 from wigeonpier.web.server import Route, make_route
 
@@ -134,16 +134,16 @@
         """Find the verdict that excludes a suspected request, or ``''``."""
         if trial is None:
             return ''
-        company = Company(trial.company)
-        verdict = self._trials.ask(trial.fingerprint, company, now)
+        isolation = IsolationLevel(trial.company)
+        verdict = self._trials.ask(trial.fingerprint, isolation, now)
         return '' if verdict is Verdict.granted else verdict.value
 
     def _grant(self, trial: TrialAsk | None, now: float) -> None:
         self._slots.add(now)
         self._runner.make_room()
         if trial is not None:
-            company = Company(trial.company)
-            self._trials.enter(trial.fingerprint, company, now)
+            isolation = IsolationLevel(trial.company)
+            self._trials.enter(trial.fingerprint, isolation, now)
 
 
 def _read_reservation(request: Request) -> ReservationAsk:
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -21,7 +21,7 @@
 from wigeonpier.platform import ingress, register
 from wigeonpier.policy import waiting
 from wigeonpier.policy.route import note_outcome
-from wigeonpier.policy.trial import Company
+from wigeonpier.policy.trial import IsolationLevel
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.web.exchange import make_request
@@ -114,7 +114,7 @@
             # If it ran alone, this may be the crash that gets it refused,
             # which is known as soon as the crash is confirmed.
             question.is_retry_blocked = (
-                question.sends[-1].company == Company.nobody
+                question.sends[-1].company == IsolationLevel.exclusive
             )
         log_event(
             Event.request_retried,
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from wigeonpier.policy.suspicion import CRASHES_BEFORE_ISOLATION, Standing
-from wigeonpier.policy.trial import Company
+from wigeonpier.policy.trial import IsolationLevel
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 
@@ -118,7 +118,7 @@
             question.fingerprint,
             upstream.start,
             upstream.version,
-            was_alone=question.sends[-1].company == Company.nobody,
+            was_alone=question.sends[-1].company == IsolationLevel.exclusive,
             had_output=question.sends[-1].had_output,
         )
         self.metrics.count('suspected_total')
@@ -139,7 +139,7 @@
             PossibleCrash(
                 question.fingerprint,
                 upstream.start,
-                question.sends[-1].company == Company.nobody,
+                question.sends[-1].company == IsolationLevel.exclusive,
                 question.sends[-1].had_output,
                 time.monotonic(),
             ),
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -10,7 +10,7 @@
 from wigeonpier.policy.ranking import rank_by_key
 from wigeonpier.policy.reservation import ASK_SHARE, MOST_ASKS
 from wigeonpier.policy.suspicion import Standing
-from wigeonpier.policy.trial import Company
+from wigeonpier.policy.trial import IsolationLevel
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -53,8 +53,8 @@
             return self._find_exclusive(question)
         return self._find_shared(
             question,
-            Company.latecomers,
-        ) or self._find_shared(question, Company.anybody)
+            IsolationLevel.admits_later,
+        ) or self._find_shared(question, IsolationLevel.shared)
 
     def find_late(self, question: Question) -> UpstreamState | None:
         """Reserve a slot for a suspected request that can wait no longer.
@@ -63,14 +63,16 @@
         :returns: an upstream at which no other suspected request runs alone,
             ``None`` if there is none.
         """
-        return self._find_shared(question, Company.anybody)
+        return self._find_shared(question, IsolationLevel.shared)
 
     def _find_shared(
         self,
         question: Question,
-        company: Company,
+        isolation: IsolationLevel,
     ) -> UpstreamState | None:
-        return self._try_each(question, self._draw_upstreams(question), company)
+        return self._try_each(
+            question, self._draw_upstreams(question), isolation
+        )
 
     def _find_exclusive(self, question: Question) -> UpstreamState | None:
         """Reserve a slot where the request runs alone.
@@ -86,7 +88,7 @@
         }
         ranked = rank_by_key(list(usable), question.fingerprint)[:MOST_ASKS]
         upstreams = (usable[name] for name in ranked)
-        return self._try_each(question, upstreams, Company.nobody)
+        return self._try_each(question, upstreams, IsolationLevel.exclusive)
 
     def _draw_upstreams(self, question: Question) -> Iterator[UpstreamState]:
         excluded: set[str] = set()
@@ -101,9 +103,9 @@
         self,
         question: Question,
         upstreams: Iterable[UpstreamState],
-        company: Company,
+        isolation: IsolationLevel,
     ) -> UpstreamState | None:
-        trial = TrialAsk(question.fingerprint, company.value)
+        trial = TrialAsk(question.fingerprint, isolation.value)
         unanswered = None
         for upstream in upstreams:
             answer = self.reserver.ask(
@@ -117,7 +119,7 @@
             )
             question.asks += 1
             if answer is Answer.granted:
-                question.company = company.value
+                question.company = isolation.value
                 return upstream
             if answer is Answer.running:
                 return None
@@ -126,4 +128,4 @@
         # Without a worker that knows the upstream's current start, other
         # suspected requests may run there too, and a run proves nothing.
         # A request that has to run alone therefore waits.
-        return None if company is Company.nobody else unanswered
+        return None if isolation is IsolationLevel.exclusive else unanswered
--- a/src/wigeonpier/local/suspects.py
+++ b/src/wigeonpier/local/suspects.py
@@ -13,7 +13,7 @@
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.policy.fingerprint import digest_request
 from wigeonpier.policy.suspicion import Standing
-from wigeonpier.policy.trial import Company, TrialTable, Verdict
+from wigeonpier.policy.trial import IsolationLevel, TrialTable, Verdict
 from wigeonpier.web import headers
 
 if TYPE_CHECKING:
@@ -61,7 +61,9 @@
         """
         return SuspectRun(self, request, body, self._admit(request, body))
 
-    def record_loss(self, fingerprint: str, isolation: Company | None) -> None:
+    def record_loss(
+        self, fingerprint: str, isolation: IsolationLevel | None
+    ) -> None:
         """Attribute a crash of the upstream, if it crashed, to a request.
 
         :param fingerprint: fingerprint of the lost request.
@@ -79,11 +81,11 @@
             fingerprint,
             f'{self.name}-{self._starts}',
             '',
-            was_alone=isolation is Company.nobody,
+            was_alone=isolation is IsolationLevel.exclusive,
         )
         self.on_crash()
 
-    def _admit(self, request: Request, body: bytes) -> Company | None:
+    def _admit(self, request: Request, body: bytes) -> IsolationLevel | None:
         if self.suspicions.is_empty:
             return None
         fingerprint = _get_fingerprint(request, body)
@@ -97,9 +99,15 @@
             )
         return self._add_trial(fingerprint, run_mode)
 
-    def _add_trial(self, fingerprint: str, run_mode: Standing) -> Company:
+    def _add_trial(
+        self, fingerprint: str, run_mode: Standing
+    ) -> IsolationLevel:
         is_alone = run_mode is Standing.alone
-        isolation = Company.nobody if is_alone else Company.latecomers
+        isolation = (
+            IsolationLevel.exclusive
+            if is_alone
+            else IsolationLevel.admits_later
+        )
         now = time.monotonic()
         if self.trials.ask(fingerprint, isolation, now) is not Verdict.granted:
             raise Refusal(
@@ -124,7 +132,7 @@
     suspects: LocalSuspects
     request: Request
     body: bytes
-    isolation: Company | None
+    isolation: IsolationLevel | None
 
     def record_loss(self) -> None:
         """Record that the run was lost, perhaps in a crash."""
--- a/src/wigeonpier/policy/trial.py
+++ b/src/wigeonpier/policy/trial.py
@@ -16,7 +16,7 @@
 TRIAL_TIMEOUT_SECONDS = 3.0
 
 
-class Company(StrEnum):
+class IsolationLevel(StrEnum):
     """Which other suspected requests may run beside a run.
 
     A run that is alone allows none.  A run that is apart starts where there is
@@ -24,9 +24,9 @@
     finds no free upstream allows all but those that are alone.
     """
 
-    nobody = 'nobody'
-    latecomers = 'latecomers'
-    anybody = 'anybody'
+    exclusive = 'nobody'
+    admits_later = 'latecomers'
+    shared = 'anybody'
 
 
 class Verdict(StrEnum):
@@ -41,11 +41,11 @@
 class Trial:
     """One run of a suspected request.
 
-    :param company: which others may run beside it.
+    :param isolation: which others may run beside it.
     :param since: when it was granted, seconds of the monotonic clock.
     """
 
-    company: Company
+    isolation: IsolationLevel
     since: float
 
 
@@ -58,11 +58,13 @@
 
     trials: dict[str, Trial] = field(default_factory=dict)
 
-    def ask(self, fingerprint: str, company: Company, now: float) -> Verdict:
+    def ask(
+        self, fingerprint: str, isolation: IsolationLevel, now: float
+    ) -> Verdict:
         """Check whether a suspected request may run.
 
         :param fingerprint: the request.
-        :param company: which others may run beside it.
+        :param isolation: which others may run beside it.
         :param now: seconds of the monotonic clock.
         :returns: the verdict; the same request never runs twice here.
         """
@@ -70,19 +72,23 @@
         if fingerprint in self.trials:
             return Verdict.running
         others = self.trials.values()
-        has_lone_run = any(other.company is Company.nobody for other in others)
-        if has_lone_run or (others and company is not Company.anybody):
+        has_lone_run = any(
+            other.isolation is IsolationLevel.exclusive for other in others
+        )
+        if has_lone_run or (others and isolation is not IsolationLevel.shared):
             return Verdict.occupied
         return Verdict.granted
 
-    def enter(self, fingerprint: str, company: Company, now: float) -> None:
+    def enter(
+        self, fingerprint: str, isolation: IsolationLevel, now: float
+    ) -> None:
         """Record that a suspected request was sent here.
 
         :param fingerprint: the request.
-        :param company: which others may run beside it.
+        :param isolation: which others may run beside it.
         :param now: seconds of the monotonic clock.
         """
-        self.trials[fingerprint] = Trial(company, now)
+        self.trials[fingerprint] = Trial(isolation, now)
 
     def leave(self, fingerprint: str) -> None:
         """Record that a suspected request no longer runs here.
--- a/tests/policy/test_suspicion.py
+++ b/tests/policy/test_suspicion.py
@@ -18,7 +18,7 @@
 )
 from wigeonpier.policy.trial import (
     TRIAL_TIMEOUT_SECONDS,
-    Company,
+    IsolationLevel,
     TrialTable,
     Verdict,
 )
@@ -186,22 +186,22 @@
 
 def test_lone_run_allows_no_other() -> None:
     table = TrialTable()
-    table.enter('a', Company.nobody, 0)
-    for company in Company:
-        assert table.ask('b', company, 1) is Verdict.occupied
-    assert table.ask('a', Company.nobody, 1) is Verdict.running
+    table.enter('a', IsolationLevel.exclusive, 0)
+    for isolation in IsolationLevel:
+        assert table.ask('b', isolation, 1) is Verdict.occupied
+    assert table.ask('a', IsolationLevel.exclusive, 1) is Verdict.running
     table.leave('a')
-    assert table.ask('b', Company.nobody, 1) is Verdict.granted
+    assert table.ask('b', IsolationLevel.exclusive, 1) is Verdict.granted
 
 
 def test_run_apart_allows_latecomers_but_no_lone_run() -> None:
     table = TrialTable()
-    table.enter('a', Company.latecomers, 0)
-    assert table.ask('b', Company.latecomers, 1) is Verdict.occupied
-    assert table.ask('b', Company.nobody, 1) is Verdict.occupied
-    assert table.ask('b', Company.anybody, 1) is Verdict.granted
+    table.enter('a', IsolationLevel.admits_later, 0)
+    assert table.ask('b', IsolationLevel.admits_later, 1) is Verdict.occupied
+    assert table.ask('b', IsolationLevel.exclusive, 1) is Verdict.occupied
+    assert table.ask('b', IsolationLevel.shared, 1) is Verdict.granted
     assert (
-        table.ask('b', Company.nobody, TRIAL_TIMEOUT_SECONDS + 1)
+        table.ask('b', IsolationLevel.exclusive, TRIAL_TIMEOUT_SECONDS + 1)
         is Verdict.granted
     )
 
@@ -245,7 +245,7 @@
 
 def test_is_older_compares_the_start_of_the_run() -> None:
     table = TrialTable()
-    table.enter('a', Company.latecomers, 1)
+    table.enter('a', IsolationLevel.admits_later, 1)
     assert table.is_older('a', 1.5)
     assert not table.is_older('a', 1)
     assert not table.is_older('b', 1.5)
