--- a/src/wigeonpier/entry/suspects.py
+++ b/src/wigeonpier/entry/suspects.py
@@ -7,7 +7,7 @@
 
 from wigeonpier.errors import ErrorKind, Ran, Refusal
 from wigeonpier.membership.exchange import exchange_suspicions
-from wigeonpier.policy.suspicion import Standing
+from wigeonpier.policy.suspicion import RunMode
 
 if TYPE_CHECKING:
     from wigeonpier.entry.forward import PendingRequest
@@ -37,14 +37,14 @@
         :param state: the upstream that it is sent to.
         :raises Refusal: when the request crashes upstreams.
         """
-        standing = self._judge(pending)
-        if standing is Standing.refused:
+        run_mode = self._judge(pending)
+        if run_mode is RunMode.refused:
             raise Refusal(
                 ErrorKind.ends_upstreams,
                 'upstreams end when they run it',
                 ran=Ran.unknown if pending.may_have_run else Ran.no,
             )
-        if standing is not Standing.free:
+        if run_mode is not RunMode.free:
             exchange_suspicions(self.caller, state.address, self.suspicions)
 
     def refresh(self, pending: PendingRequest, state: UpstreamState) -> None:
@@ -56,7 +56,7 @@
         pending.compute_fingerprint()
         exchange_suspicions(self.caller, state.address, self.suspicions)
 
-    def _judge(self, pending: PendingRequest) -> Standing:
+    def _judge(self, pending: PendingRequest) -> RunMode:
         if self.suspicions.is_empty:
-            return Standing.free
+            return RunMode.free
         return self.suspicions.judge(pending.compute_fingerprint(), NO_VERSION)
--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -13,7 +13,7 @@
 from wigeonpier.hosted.reserver import Answer
 from wigeonpier.policy import reservation
 from wigeonpier.policy.prioritygate import PriorityGate
-from wigeonpier.policy.suspicion import Standing
+from wigeonpier.policy.suspicion import RunMode
 
 if TYPE_CHECKING:
     import random
@@ -96,7 +96,7 @@
         :param request: the request.
         :returns: true if it crashes upstreams.
         """
-        return self.suspects.judge(request) is Standing.refused
+        return self.suspects.judge(request) is RunMode.refused
 
     def reserve_at(
         self,
@@ -155,7 +155,7 @@
         return self.chooser.choose(request)
 
     def _is_suspected(self, request: Question) -> bool:
-        return self.suspects.judge(request) is not Standing.free
+        return self.suspects.judge(request) is not RunMode.free
 
     def _needs_slot(self, request: Question) -> bool:
         """Check whether a request is held until a slot is reserved."""
@@ -164,7 +164,7 @@
     def _find_slot(self, request: Question) -> UpstreamState | None:
         """Reserve a slot, apart from other suspects if it is suspected."""
         run_mode = self.suspects.judge(request)
-        if run_mode is Standing.free:
+        if run_mode is RunMode.free:
             return self._reserve(request)
         return self.trials.find_place(request, run_mode)
 
--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from wigeonpier.policy.incarnation import name_start
-from wigeonpier.policy.suspicion import Standing
+from wigeonpier.policy.suspicion import RunMode
 from wigeonpier.policy.trial import IsolationLevel, Verdict
 
 if TYPE_CHECKING:
@@ -34,8 +34,8 @@
 # other suspected request runs at the upstream.
 ISOLATION_BY_RUN_MODE = MappingProxyType(
     {
-        Standing.apart: IsolationLevel.admits_later,
-        Standing.alone: IsolationLevel.exclusive,
+        RunMode.apart: IsolationLevel.admits_later,
+        RunMode.alone: IsolationLevel.exclusive,
     }
 )
 
@@ -63,7 +63,7 @@
         :param work: the item.
         :returns: false if it is refused; it then takes no slot from others.
         """
-        return self._get_run_mode(work) is not Standing.refused
+        return self._get_run_mode(work) is not RunMode.refused
 
     def try_admit(self, work: ItemWork) -> bool:
         """Admit an item if it may be started now.
@@ -73,7 +73,7 @@
         """
         work.isolation = ''
         run_mode = self._get_run_mode(work)
-        if run_mode is Standing.free:
+        if run_mode is RunMode.free:
             return True
         isolation = ISOLATION_BY_RUN_MODE.get(run_mode)
         if isolation is None:
@@ -142,8 +142,8 @@
         if not self.suspicions.is_empty:
             self.suspicions.clear(work.fingerprint)
 
-    def _get_run_mode(self, work: ItemWork) -> Standing:
+    def _get_run_mode(self, work: ItemWork) -> RunMode:
         if self.suspicions.is_empty or self.upstream.replica is None:
-            return Standing.free
+            return RunMode.free
         versions = {self.upstream.replica.version}
         return self.suspicions.judge(work.fingerprint, versions)
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from wigeonpier.policy.suspicion import CRASHES_BEFORE_ISOLATION, Standing
+from wigeonpier.policy.suspicion import CRASHES_BEFORE_ISOLATION, RunMode
 from wigeonpier.policy.trial import IsolationLevel
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -70,7 +70,7 @@
         default_factory=lambda: deque(maxlen=MAX_POSSIBLE_CRASHES),
     )
 
-    def judge(self, question: Question) -> Standing:
+    def judge(self, question: Question) -> RunMode:
         """Decide how a request may run.
 
         The fingerprint is not computed while no request is suspected.
@@ -78,12 +78,12 @@
         :param question: the request.
         :returns: how it may run.
         """
-        standing = self._judge_by_crashes(question)
+        run_mode = self._judge_by_crashes(question)
         # Whether the upstreams crashed is known only once they have restarted.
         is_often_lost = question.count_losses() >= CRASHES_BEFORE_ISOLATION
-        if is_often_lost and standing is not Standing.refused:
-            return Standing.alone
-        return standing
+        if is_often_lost and run_mode is not RunMode.refused:
+            return RunMode.alone
+        return run_mode
 
     def list_tried_versions(self, question: Question) -> set[str]:
         """List the upstream versions on which a request is not tried again.
@@ -196,9 +196,9 @@
         if update.kept:
             self.quarantine.note(question.fingerprint)
 
-    def _judge_by_crashes(self, question: Question) -> Standing:
+    def _judge_by_crashes(self, question: Question) -> RunMode:
         if self.suspicions.is_empty:
-            return Standing.free
+            return RunMode.free
         versions = {
             state.version
             for state in self.replicas.list_upstreams()
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -9,7 +9,7 @@
 from wigeonpier.hosted.reserver import Answer
 from wigeonpier.policy.ranking import rank_by_key
 from wigeonpier.policy.reservation import ASK_SHARE, MOST_ASKS
-from wigeonpier.policy.suspicion import Standing
+from wigeonpier.policy.suspicion import RunMode
 from wigeonpier.policy.trial import IsolationLevel
 
 if TYPE_CHECKING:
@@ -41,15 +41,15 @@
     def find_place(
         self,
         question: Question,
-        standing: Standing,
+        run_mode: RunMode,
     ) -> UpstreamState | None:
         """Reserve a slot for a suspected request.
 
         :param question: the request; its isolation is set.
-        :param standing: how it may run.
+        :param run_mode: how it may run.
         :returns: the upstream, ``None`` if the request has to wait.
         """
-        if standing is Standing.alone:
+        if run_mode is RunMode.alone:
             return self._find_exclusive(question)
         return self._find_shared(
             question,
--- a/src/wigeonpier/local/suspects.py
+++ b/src/wigeonpier/local/suspects.py
@@ -12,7 +12,7 @@
 
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.policy.fingerprint import digest_request
-from wigeonpier.policy.suspicion import Standing
+from wigeonpier.policy.suspicion import RunMode
 from wigeonpier.policy.trial import IsolationLevel, TrialTable, Verdict
 from wigeonpier.web import headers
 
@@ -90,19 +90,17 @@
             return None
         fingerprint = _get_fingerprint(request, body)
         run_mode = self.suspicions.judge(fingerprint, NO_VERSION)
-        if run_mode is Standing.free:
+        if run_mode is RunMode.free:
             return None
-        if run_mode is Standing.refused:
+        if run_mode is RunMode.refused:
             raise Refusal(
                 ErrorKind.ends_upstreams,
                 'upstreams end when they run it',
             )
         return self._add_trial(fingerprint, run_mode)
 
-    def _add_trial(
-        self, fingerprint: str, run_mode: Standing
-    ) -> IsolationLevel:
-        is_alone = run_mode is Standing.alone
+    def _add_trial(self, fingerprint: str, run_mode: RunMode) -> IsolationLevel:
+        is_alone = run_mode is RunMode.alone
         isolation = (
             IsolationLevel.exclusive
             if is_alone
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -18,7 +18,7 @@
     RENEW_SECONDS,
     RESTLESS_SECONDS,
     End,
-    Standing,
+    RunMode,
     Suspect,
     is_proved,
     judge_request,
@@ -62,12 +62,12 @@
         """Check whether there are no suspects, so that look-ups are skipped."""
         return not self.suspects
 
-    def judge(self, fingerprint: str, versions: Set[str]) -> Standing:
+    def judge(self, fingerprint: str, versions: Set[str]) -> RunMode:
         """Decide how a request may be run.
 
         :param fingerprint: the request.
         :param versions: software versions of the upstreams that could run it.
-        :returns: its standing.
+        :returns: how it may run.
         """
         suspect = self.suspects.get(fingerprint)
         if suspect is not None and suspect.is_forgotten(time.monotonic()):
--- a/src/wigeonpier/policy/suspicion.py
+++ b/src/wigeonpier/policy/suspicion.py
@@ -51,7 +51,7 @@
 RENEW_SECONDS = 60.0
 
 
-class Standing(StrEnum):
+class RunMode(StrEnum):
     """How a request may be run."""
 
     free = 'free'
@@ -114,7 +114,7 @@
         return not self.ends or now - self.kept_at > MEMORY_SECONDS
 
 
-def judge_request(suspect: Suspect | None, versions: Set[str]) -> Standing:
+def judge_request(suspect: Suspect | None, versions: Set[str]) -> RunMode:
     """Decide how a request may be run.
 
     :param suspect: crashes that count against it, ``None`` for none.
@@ -123,13 +123,13 @@
         if one of the versions has not crashed under it.
     """
     if suspect is None or not suspect.ends:
-        return Standing.free
+        return RunMode.free
     if suspect.is_culprit:
         untried = versions - {end.version for end in suspect.ends}
-        return Standing.alone if untried else Standing.refused
+        return RunMode.alone if untried else RunMode.refused
     if len(suspect.ends) >= CRASHES_BEFORE_ISOLATION:
-        return Standing.alone
-    return Standing.apart
+        return RunMode.alone
+    return RunMode.apart
 
 
 def is_proved(suspect: Suspect, other_crashes: int) -> bool:
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -19,7 +19,7 @@
     RepeatingCaller,
 )
 from wigeonpier.cli.main import main
-from wigeonpier.policy.suspicion import Standing
+from wigeonpier.policy.suspicion import RunMode
 
 if TYPE_CHECKING:
     from tests.hosted.builders import HostedSite
@@ -216,7 +216,7 @@
     culprit = find_culprit(site)
     wait_for(
         lambda: all(
-            entry._suspicions.judge(culprit, VERSIONS) is Standing.free
+            entry._suspicions.judge(culprit, VERSIONS) is RunMode.free
             for entry in site.entries
         ),
         'it is cleared',
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -5,7 +5,7 @@
 from wigeonpier.membership import suspicions as module
 from wigeonpier.membership.news import EndNews, SuspicionNews
 from wigeonpier.membership.suspicions import Suspicions
-from wigeonpier.policy.suspicion import Standing
+from wigeonpier.policy.suspicion import RunMode
 
 V1 = frozenset(('v1',))
 
@@ -21,8 +21,8 @@
     second = Suspicions()
     confirm_culprit(first)
     second.merge(first.describe())
-    assert second.judge('culprit', V1) is Standing.refused
-    assert second.judge('other', V1) is Standing.free
+    assert second.judge('culprit', V1) is RunMode.refused
+    assert second.judge('other', V1) is RunMode.free
 
 
 def test_merge_returns_update_only_once() -> None:
@@ -41,7 +41,7 @@
     suspicions.merge(update)
     late = SuspicionNews(ends=(EndNews('q', 'j', 'v1', 5, was_alone=False),))
     suspicions.merge(late)
-    assert suspicions.judge('q', V1) is Standing.free
+    assert suspicions.judge('q', V1) is RunMode.free
     suspicions.note_end('q', 'k', 'v1', was_alone=False)
 
 
@@ -50,9 +50,9 @@
     for number in (0, 1):
         suspicions.note_end('innocent', f'i-{number}', 'v1', was_alone=False)
     confirm_culprit(suspicions)
-    assert suspicions.judge('innocent', V1) is Standing.free
+    assert suspicions.judge('innocent', V1) is RunMode.free
     suspicions.note_end('innocent', 'i-2', 'v1', was_alone=True)
-    assert suspicions.judge('innocent', V1) is Standing.free
+    assert suspicions.judge('innocent', V1) is RunMode.free
 
 
 def test_log_returns_changes_or_whole_state_to_late_follower() -> None:
@@ -80,7 +80,7 @@
     for number in range(20):
         suspicions.note_end(f'q{number}', 'j', 'v1', was_alone=False)
     assert len(suspicions.suspects) == 8
-    assert suspicions.judge('culprit', V1) is Standing.refused
+    assert suspicions.judge('culprit', V1) is RunMode.refused
 
 
 def test_confirmed_culprit_overrides_local_evidence() -> None:
@@ -90,15 +90,15 @@
     confirm_culprit(first)
     ends = SuspicionNews(first.describe().ends)
     second.merge(ends)
-    assert second.judge('culprit', V1) is Standing.alone
+    assert second.judge('culprit', V1) is RunMode.alone
     second.merge(first.describe())
-    assert second.judge('culprit', V1) is Standing.refused
+    assert second.judge('culprit', V1) is RunMode.refused
 
 
 def test_unrelated_crash_requires_second_crash_alone() -> None:
     suspicions = Suspicions()
     suspicions.note_end('other', 'j', 'v1', was_alone=False)
     confirm_culprit(suspicions)
-    assert suspicions.judge('culprit', V1) is Standing.alone
+    assert suspicions.judge('culprit', V1) is RunMode.alone
     suspicions.note_end('culprit', 'i-3', 'v1', was_alone=True)
-    assert suspicions.judge('culprit', V1) is Standing.refused
+    assert suspicions.judge('culprit', V1) is RunMode.refused
--- a/tests/policy/test_suspicion.py
+++ b/tests/policy/test_suspicion.py
@@ -11,7 +11,7 @@
     MEMORY_SECONDS,
     UNSTABLE_LONE_CRASHES_TO_QUARANTINE,
     End,
-    Standing,
+    RunMode,
     Suspect,
     is_proved,
     judge_request,
@@ -38,18 +38,18 @@
 
 
 @pytest.mark.parametrize(
-    ('alone', 'standing'),
+    ('alone', 'run_mode'),
     [
-        ((), Standing.free),
-        ((False,), Standing.apart),
-        ((False, False), Standing.alone),
-        ((False, False, False), Standing.alone),
-        ((False, False, True), Standing.refused),
-        ((False, False, False, False), Standing.refused),
+        ((), RunMode.free),
+        ((False,), RunMode.apart),
+        ((False, False), RunMode.alone),
+        ((False, False, False), RunMode.alone),
+        ((False, False, True), RunMode.refused),
+        ((False, False, False, False), RunMode.refused),
     ],
 )
-def test_run_mode_follows_from_shared_and_lone_crashes(alone, standing) -> None:
-    assert judge_request(build_suspect(*alone), V1) is standing
+def test_run_mode_follows_from_shared_and_lone_crashes(alone, run_mode) -> None:
+    assert judge_request(build_suspect(*alone), V1) is run_mode
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
                 f'i-{self.crashes}',
                 'v1',
                 float(self.crashes),
-                judge_request(suspect, V1) is Standing.alone,
+                judge_request(suspect, V1) is RunMode.alone,
                 had_output=crashes_at >= seconds_to_output,
             ),
         )
@@ -156,7 +156,7 @@
         CRASHES_BEFORE_ISOLATION + UNSTABLE_LONE_CRASHES_TO_QUARANTINE
     ):
         assert not suspect.is_culprit
-        was_alone = judge_request(suspect, V1) is Standing.alone
+        was_alone = judge_request(suspect, V1) is RunMode.alone
         suspect.add(End(f'i-{number}', 'v1', float(number), was_alone))
         suspect.is_culprit = is_proved(suspect, 1)
     assert suspect.is_culprit
@@ -172,9 +172,9 @@
 def test_culprit_is_tried_once_on_another_version() -> None:
     suspect = build_suspect(False, False, True)
     both = frozenset(('v1', 'v2'))
-    assert judge_request(suspect, both) is Standing.alone
+    assert judge_request(suspect, both) is RunMode.alone
     suspect.add(End('j-1', 'v2', 9, was_alone=True))
-    assert judge_request(suspect, both) is Standing.refused
+    assert judge_request(suspect, both) is RunMode.refused
 
 
 def test_request_not_seen_for_long_is_forgotten() -> None:
@@ -228,17 +228,17 @@
             suspects[name].is_culprit = is_proved(suspects[name], 0)
         upstreams = [[] for _ in range(UPSTREAMS)]
         for name in group:
-            standing = judge_request(suspects[name], V1)
-            if standing is Standing.alone:
+            run_mode = judge_request(suspects[name], V1)
+            if run_mode is RunMode.alone:
                 groups.append([name])
-            elif standing is Standing.apart:
+            elif run_mode is RunMode.apart:
                 min(upstreams, key=len).append(name)
         groups += [upstream for upstream in upstreams if upstream]
     assert crashes == 3
     refused = [
         name
         for name in names
-        if judge_request(suspects[name], V1) is Standing.refused
+        if judge_request(suspects[name], V1) is RunMode.refused
     ]
     assert refused == [culprit]
 
