--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -20,8 +20,8 @@
     End,
     RunMode,
     Suspect,
+    choose_run_mode,
     is_proved,
-    judge_request,
 )
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -73,7 +73,7 @@
         if suspect is not None and suspect.is_forgotten(time.monotonic()):
             self.suspects.pop(fingerprint)
             suspect = None
-        return judge_request(suspect, versions)
+        return choose_run_mode(suspect, versions)
 
     def is_refused(self, fingerprint: str) -> bool:
         """Check whether a request is refused.
--- a/src/wigeonpier/policy/suspicion.py
+++ b/src/wigeonpier/policy/suspicion.py
@@ -114,7 +114,7 @@
         return not self.ends or now - self.kept_at > MEMORY_SECONDS
 
 
-def judge_request(suspect: Suspect | None, versions: Set[str]) -> RunMode:
+def choose_run_mode(suspect: Suspect | None, versions: Set[str]) -> RunMode:
     """Decide how a request may be run.
 
     :param suspect: crashes that count against it, ``None`` for none.
--- a/tests/policy/test_suspicion.py
+++ b/tests/policy/test_suspicion.py
@@ -13,8 +13,8 @@
     End,
     RunMode,
     Suspect,
+    choose_run_mode,
     is_proved,
-    judge_request,
 )
 from wigeonpier.policy.trial import (
     TRIAL_TIMEOUT_SECONDS,
@@ -49,7 +49,7 @@
     ],
 )
 def test_run_mode_follows_from_shared_and_lone_crashes(alone, run_mode) -> None:
-    assert judge_request(build_suspect(*alone), V1) is run_mode
+    assert choose_run_mode(build_suspect(*alone), V1) is run_mode
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
                 f'i-{self.crashes}',
                 'v1',
                 float(self.crashes),
-                judge_request(suspect, V1) is RunMode.alone,
+                choose_run_mode(suspect, V1) is RunMode.alone,
                 had_output=crashes_at >= seconds_to_output,
             ),
         )
@@ -156,7 +156,7 @@
         CRASHES_BEFORE_ISOLATION + UNSTABLE_LONE_CRASHES_TO_QUARANTINE
     ):
         assert not suspect.is_culprit
-        was_alone = judge_request(suspect, V1) is RunMode.alone
+        was_alone = choose_run_mode(suspect, V1) is RunMode.alone
         suspect.add(End(f'i-{number}', 'v1', float(number), was_alone))
         suspect.is_culprit = is_proved(suspect, 1)
     assert suspect.is_culprit
@@ -172,9 +172,9 @@
 def test_culprit_is_tried_once_on_another_version() -> None:
     suspect = build_suspect(False, False, True)
     both = frozenset(('v1', 'v2'))
-    assert judge_request(suspect, both) is RunMode.alone
+    assert choose_run_mode(suspect, both) is RunMode.alone
     suspect.add(End('j-1', 'v2', 9, was_alone=True))
-    assert judge_request(suspect, both) is RunMode.refused
+    assert choose_run_mode(suspect, both) is RunMode.refused
 
 
 def test_request_not_seen_for_long_is_forgotten() -> None:
@@ -228,7 +228,7 @@
             suspects[name].is_culprit = is_proved(suspects[name], 0)
         upstreams = [[] for _ in range(UPSTREAMS)]
         for name in group:
-            run_mode = judge_request(suspects[name], V1)
+            run_mode = choose_run_mode(suspects[name], V1)
             if run_mode is RunMode.alone:
                 groups.append([name])
             elif run_mode is RunMode.apart:
@@ -238,7 +238,7 @@
     refused = [
         name
         for name in names
-        if judge_request(suspects[name], V1) is RunMode.refused
+        if choose_run_mode(suspects[name], V1) is RunMode.refused
     ]
     assert refused == [culprit]
 
