--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -17,7 +17,7 @@
 from wigeonpier.policy.suspicion import (
     RENEW_SECONDS,
     RESTLESS_SECONDS,
-    End,
+    Crash,
     RunMode,
     Suspect,
     choose_run_mode,
@@ -92,7 +92,7 @@
         """
         if not self.is_refused(fingerprint):
             return set()
-        return {end.version for end in self.suspects[fingerprint].ends}
+        return {crash.version for crash in self.suspects[fingerprint].crashes}
 
     def note_end(
         self,
@@ -112,8 +112,10 @@
         :param had_output: whether its run there had produced events.
         :returns: the update to publish.
         """
-        end = EndNews(fingerprint, upstream, version, 0, was_alone, had_output)
-        return self.merge(SuspicionNews(ends=(end,)))
+        crash = EndNews(
+            fingerprint, upstream, version, 0, was_alone, had_output
+        )
+        return self.merge(SuspicionNews(ends=(crash,)))
 
     def clear(self, fingerprint: str) -> SuspicionNews:
         """Remove a request from the suspects.
@@ -144,11 +146,13 @@
         """
         now = time.monotonic()
         self._new_culprits.clear()
-        ends = tuple(end for end in update.ends if self._add_crash(end, now))
+        crashes = tuple(
+            crash for crash in update.ends if self._add_crash(crash, now)
+        )
         for condemned in update.condemned:
             self._accept_culprit(condemned)
         fresh = SuspicionNews(
-            ends,
+            crashes,
             tuple(
                 name for name in update.cleared if self._apply_clear(name, now)
             ),
@@ -185,9 +189,9 @@
         """
         return SuspicionNews(
             tuple(
-                end
+                crash
                 for fingerprint in self.suspects
-                for end in self.list_ends(fingerprint)
+                for crash in self.list_ends(fingerprint)
             ),
             tuple(self._cleared),
             condemned=tuple(filter(self.is_refused, self.suspects)),
@@ -208,9 +212,9 @@
         )
         return SuspicionNews(
             tuple(
-                end
+                crash
                 for fingerprint in ranked[:MAX_SUMMARIZED]
-                for end in self.list_ends(fingerprint)
+                for crash in self.list_ends(fingerprint)
             ),
             tuple(self._cleared)[-MAX_SUMMARIZED:],
             condemned=tuple(filter(self.is_refused, ranked[:MAX_SUMMARIZED])),
@@ -224,14 +228,14 @@
         """
         now = time.monotonic()
         suspect = self.suspects.get(fingerprint, Suspect())
-        for end in suspect.ends:
+        for crash in suspect.crashes:
             yield EndNews(
                 fingerprint,
-                end.upstream,
-                end.version,
-                round(now - end.at, 3),
-                end.was_alone,
-                end.had_output,
+                crash.upstream,
+                crash.version,
+                round(now - crash.at, 3),
+                crash.was_alone,
+                crash.had_output,
             )
 
     def _add_crash(self, report: EndNews, now: float) -> bool:
@@ -242,14 +246,14 @@
         if self._is_explained(report):
             return False
         suspect = self._get_suspect(report.fingerprint)
-        end = End(
+        crash = Crash(
             report.upstream,
             report.version,
             at,
             report.was_alone,
             report.had_output,
         )
-        if not suspect.add(end):
+        if not suspect.add(crash):
             return False
         log_event(
             Event.request_suspected,
@@ -257,7 +261,7 @@
             upstream=report.upstream,
             was_alone=report.was_alone,
             had_output=report.had_output,
-            ends=len(suspect.ends),
+            ends=len(suspect.crashes),
         )
         if not suspect.is_culprit:
             others = _count_unexplained(
@@ -281,7 +285,9 @@
         """Check whether a known culprit already explains a crash."""
         return any(
             suspect.is_culprit
-            and any(end.upstream == report.upstream for end in suspect.ends)
+            and any(
+                crash.upstream == report.upstream for crash in suspect.crashes
+            )
             for fingerprint, suspect in self.suspects.items()
             if fingerprint != report.fingerprint
         )
@@ -290,21 +296,23 @@
         """Mark a culprit, and drop its crashes from all other suspects."""
         self.suspects[culprit].is_culprit = True
         self._new_culprits.append(culprit)
-        ends = self.suspects[culprit].ends
+        crashes = self.suspects[culprit].crashes
         log_event(
             Event.request_condemned,
             fingerprint=culprit,
-            upstreams=[end.upstream for end in ends],
-            alone=[end.upstream for end in ends if end.was_alone],
+            upstreams=[crash.upstream for crash in crashes],
+            alone=[crash.upstream for crash in crashes if crash.was_alone],
         )
-        explained = {end.upstream for end in ends}
+        explained = {crash.upstream for crash in crashes}
         for fingerprint, suspect in list(self.suspects.items()):
             if suspect.is_culprit:
                 continue
-            suspect.ends = [
-                end for end in suspect.ends if end.upstream not in explained
+            suspect.crashes = [
+                crash
+                for crash in suspect.crashes
+                if crash.upstream not in explained
             ]
-            if not suspect.ends:
+            if not suspect.crashes:
                 self.suspects.pop(fingerprint)
 
     def _accept_culprit(self, fingerprint: str) -> None:
@@ -342,11 +350,11 @@
     now: float,
 ) -> int:
     """Count recent crashes that neither the suspect nor a culprit explains."""
-    explained = {end.upstream for end in suspect.ends}
+    explained = {crash.upstream for crash in suspect.crashes}
     others = {
-        end.upstream: end.at
+        crash.upstream: crash.at
         for other in suspects
-        for end in other.ends
+        for crash in other.crashes
         if not other.is_culprit
     }
     return sum(
--- a/src/wigeonpier/policy/suspicion.py
+++ b/src/wigeonpier/policy/suspicion.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class Crash:
     """A crash of an upstream while a request ran there.
 
     :param upstream: its start, by id and incarnation.
@@ -82,27 +82,27 @@
 class Suspect:
     """The crashes that count against one request.
 
-    :param ends: upstreams that crashed while it ran there, oldest first.
+    :param crashes: upstreams that crashed while it ran there, oldest first.
     :param kept_at: when it was last reported, seconds of the monotonic clock.
     :param is_culprit: whether it is known to crash upstreams.
     """
 
-    ends: list[End] = field(default_factory=list)
+    crashes: list[Crash] = field(default_factory=list)
     kept_at: float = 0
     is_culprit: bool = False
 
-    def add(self, end: End) -> bool:
+    def add(self, crash: Crash) -> bool:
         """Add a crash.
 
-        :param end: the crash; the same start may be reported twice.
+        :param crash: the crash; the same start may be reported twice.
         :returns: whether it adds information.
         """
-        self.kept_at = max(self.kept_at, end.at)
-        known = [crash for crash in self.ends if crash.upstream == end.upstream]
-        if known and (known[0].was_alone or not end.was_alone):
+        self.kept_at = max(self.kept_at, crash.at)
+        known = [one for one in self.crashes if one.upstream == crash.upstream]
+        if known and (known[0].was_alone or not crash.was_alone):
             return False
-        self.ends = [crash for crash in self.ends if crash not in known]
-        self.ends.append(end)
+        self.crashes = [one for one in self.crashes if one not in known]
+        self.crashes.append(crash)
         return True
 
     def is_forgotten(self, now: float) -> bool:
@@ -111,7 +111,7 @@
         :param now: seconds of the monotonic clock.
         :returns: true where nothing counts against it any more.
         """
-        return not self.ends or now - self.kept_at > MEMORY_SECONDS
+        return not self.crashes or now - self.kept_at > MEMORY_SECONDS
 
 
 def choose_run_mode(suspect: Suspect | None, versions: Set[str]) -> RunMode:
@@ -122,12 +122,12 @@
     :returns: how it may run; a request that would be refused is tried alone
         if one of the versions has not crashed under it.
     """
-    if suspect is None or not suspect.ends:
+    if suspect is None or not suspect.crashes:
         return RunMode.free
     if suspect.is_culprit:
-        untried = versions - {end.version for end in suspect.ends}
+        untried = versions - {crash.version for crash in suspect.crashes}
         return RunMode.alone if untried else RunMode.refused
-    if len(suspect.ends) >= CRASHES_BEFORE_ISOLATION:
+    if len(suspect.crashes) >= CRASHES_BEFORE_ISOLATION:
         return RunMode.alone
     return RunMode.apart
 
@@ -142,10 +142,10 @@
         output, or after four; in an unstable service after three, two of them
         so, or after six.  Crashes after the first output count half.
     """
-    early = [end for end in suspect.ends if not end.had_output]
-    late = len(suspect.ends) - len(early)
+    early = [crash for crash in suspect.crashes if not crash.had_output]
+    late = len(suspect.crashes) - len(early)
     count = len(early) + WEIGHT_AFTER_OUTPUT * late
-    lone = sum(end.was_alone for end in early)
+    lone = sum(crash.was_alone for crash in early)
     if other_crashes:
         has_lone_evidence = lone >= UNSTABLE_LONE_CRASHES_TO_QUARANTINE
         max_without_lone = UNSTABLE_CRASHES_WITHOUT_LONE
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -140,7 +140,7 @@
     caller = RepeatingCaller(site, DEADLY_BODY)
     caller.repeat_for(REGISTER_SECONDS / 2)
     suspects = site.entries[0]._suspicions.suspects
-    assert max(len(one.ends) for one in suspects.values()) == count_crashes(
+    assert max(len(one.crashes) for one in suspects.values()) == count_crashes(
         site
     )
 
--- a/tests/policy/test_suspicion.py
+++ b/tests/policy/test_suspicion.py
@@ -10,7 +10,7 @@
     CRASHES_BEFORE_ISOLATION,
     MEMORY_SECONDS,
     UNSTABLE_LONE_CRASHES_TO_QUARANTINE,
-    End,
+    Crash,
     RunMode,
     Suspect,
     choose_run_mode,
@@ -32,7 +32,7 @@
     """Make a suspect; each argument is a crash and says if it was alone."""
     suspect = Suspect()
     for number, was_alone in enumerate(alone):
-        suspect.add(End(f'i-{number}', version, float(number), was_alone))
+        suspect.add(Crash(f'i-{number}', version, float(number), was_alone))
     suspect.is_culprit = is_proved(suspect, 0)
     return suspect
 
@@ -90,7 +90,7 @@
             return True
         self.crashes += 1
         suspect.add(
-            End(
+            Crash(
                 f'i-{self.crashes}',
                 'v1',
                 float(self.crashes),
@@ -129,7 +129,7 @@
     suspect = Suspect()
     for number in range(4):
         suspect.add(
-            End(
+            Crash(
                 f'i-{number}',
                 'v1',
                 float(number),
@@ -145,7 +145,7 @@
     for number in range(8):
         assert not is_proved(suspect, 0)
         suspect.add(
-            End(f'i-{number}', 'v1', float(number), True, had_output=True),
+            Crash(f'i-{number}', 'v1', float(number), True, had_output=True),
         )
     assert is_proved(suspect, 0)
 
@@ -157,29 +157,29 @@
     ):
         assert not suspect.is_culprit
         was_alone = choose_run_mode(suspect, V1) is RunMode.alone
-        suspect.add(End(f'i-{number}', 'v1', float(number), was_alone))
+        suspect.add(Crash(f'i-{number}', 'v1', float(number), was_alone))
         suspect.is_culprit = is_proved(suspect, 1)
     assert suspect.is_culprit
 
 
 def test_crash_reported_twice_counts_once_and_stays_lone() -> None:
     suspect = build_suspect(False, False)
-    assert not suspect.add(End('i-1', 'v1', 1.2, was_alone=False))
-    assert suspect.add(End('i-1', 'v1', 1.2, was_alone=True))
-    assert [end.was_alone for end in suspect.ends] == [False, True]
+    assert not suspect.add(Crash('i-1', 'v1', 1.2, was_alone=False))
+    assert suspect.add(Crash('i-1', 'v1', 1.2, was_alone=True))
+    assert [crash.was_alone for crash in suspect.crashes] == [False, True]
 
 
 def test_culprit_is_tried_once_on_another_version() -> None:
     suspect = build_suspect(False, False, True)
     both = frozenset(('v1', 'v2'))
     assert choose_run_mode(suspect, both) is RunMode.alone
-    suspect.add(End('j-1', 'v2', 9, was_alone=True))
+    suspect.add(Crash('j-1', 'v2', 9, was_alone=True))
     assert choose_run_mode(suspect, both) is RunMode.refused
 
 
 def test_request_not_seen_for_long_is_forgotten() -> None:
     suspect = build_suspect(False, False, True)
-    last = suspect.ends[-1].at
+    last = suspect.crashes[-1].at
     assert not suspect.is_forgotten(last + MEMORY_SECONDS - 1)
     assert suspect.is_forgotten(last + MEMORY_SECONDS + 1)
 
@@ -219,12 +219,12 @@
     groups = [names]
     while crashes < UPSTREAMS and groups:
         group = groups.pop()
-        is_alone = len(group) == 1 and len(suspects[group[0]].ends) > 1
+        is_alone = len(group) == 1 and len(suspects[group[0]].crashes) > 1
         if culprit not in group:
             continue
         crashes += 1
         for name in group:
-            suspects[name].add(End(f'i-{crashes}', 'v1', crashes, is_alone))
+            suspects[name].add(Crash(f'i-{crashes}', 'v1', crashes, is_alone))
             suspects[name].is_culprit = is_proved(suspects[name], 0)
         upstreams = [[] for _ in range(UPSTREAMS)]
         for name in group:
