--- a/src/wigeonpier/hosted/news.py
+++ b/src/wigeonpier/hosted/news.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from wigeonpier.hosted.usagecounter import UsageNews
-from wigeonpier.membership.news import EndNews, SuspicionNews
+from wigeonpier.membership.news import CrashReport, SuspicionNews
 from wigeonpier.models import QuestionLoad
 
 
@@ -33,7 +33,7 @@
         merely suspected.
     """
 
-    ends: tuple[EndNews, ...]
+    ends: tuple[CrashReport, ...]
     kept_at: float
     is_proved: bool = True
 
--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -18,7 +18,7 @@
 from result import Err
 
 from wigeonpier.hosted.news import QuarantineEntry
-from wigeonpier.membership.news import EndNews, SuspicionNews
+from wigeonpier.membership.news import CrashReport, SuspicionNews
 from wigeonpier.platform import places
 from wigeonpier.platform.port import Commit
 from wigeonpier.policy.suspicion import CRASHES_BEFORE_ISOLATION, MEMORY_SECONDS
@@ -187,7 +187,9 @@
     """Do nothing, in processes that do not know the disks."""
 
 
-def _add_age(crashes: Iterable[EndNews], age: float) -> Iterable[EndNews]:
+def _add_age(
+    crashes: Iterable[CrashReport], age: float
+) -> Iterable[CrashReport]:
     return (
         msgspec.structs.replace(crash, age=crash.age + age) for crash in crashes
     )
--- a/src/wigeonpier/membership/news.py
+++ b/src/wigeonpier/membership/news.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class EndNews(msgspec.Struct, frozen=True):
+class CrashReport(msgspec.Struct, frozen=True):
     """Reports an upstream that crashed while a request ran there.
 
     :param fingerprint: the request.
@@ -33,7 +33,7 @@
     :param condemned: requests confirmed to crash upstreams.
     """
 
-    ends: tuple[EndNews, ...] = ()
+    ends: tuple[CrashReport, ...] = ()
     cleared: tuple[str, ...] = ()
     kept: tuple[str, ...] = ()
     condemned: tuple[str, ...] = ()
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -13,7 +13,7 @@
 
 from gevent.event import Event as Signal
 
-from wigeonpier.membership.news import EndNews, SuspicionNews
+from wigeonpier.membership.news import CrashReport, SuspicionNews
 from wigeonpier.policy.suspicion import (
     RENEW_SECONDS,
     RESTLESS_SECONDS,
@@ -112,7 +112,7 @@
         :param had_output: whether its run there had produced events.
         :returns: the update to publish.
         """
-        crash = EndNews(
+        crash = CrashReport(
             fingerprint, upstream, version, 0, was_alone, had_output
         )
         return self.merge(SuspicionNews(ends=(crash,)))
@@ -220,7 +220,7 @@
             condemned=tuple(filter(self.is_refused, ranked[:MAX_SUMMARIZED])),
         )
 
-    def list_ends(self, fingerprint: str) -> Iterator[EndNews]:
+    def list_ends(self, fingerprint: str) -> Iterator[CrashReport]:
         """List the crashes of one request as messages.
 
         :param fingerprint: the request.
@@ -229,7 +229,7 @@
         now = time.monotonic()
         suspect = self.suspects.get(fingerprint, Suspect())
         for crash in suspect.crashes:
-            yield EndNews(
+            yield CrashReport(
                 fingerprint,
                 crash.upstream,
                 crash.version,
@@ -238,7 +238,7 @@
                 crash.had_output,
             )
 
-    def _add_crash(self, report: EndNews, now: float) -> bool:
+    def _add_crash(self, report: CrashReport, now: float) -> bool:
         at = now - report.age
         cleared_at = self._cleared.get(report.fingerprint)
         if cleared_at is not None and at <= cleared_at + ON_ITS_WAY_SECONDS:
@@ -281,7 +281,7 @@
             suspect = self.suspects.setdefault(fingerprint, Suspect())
         return suspect
 
-    def _is_explained(self, report: EndNews) -> bool:
+    def _is_explained(self, report: CrashReport) -> bool:
         """Check whether a known culprit already explains a crash."""
         return any(
             suspect.is_culprit
--- a/tests/hosted/quarantine/test_replica.py
+++ b/tests/hosted/quarantine/test_replica.py
@@ -17,7 +17,7 @@
     QuarantineReplica,
 )
 from wigeonpier.hosted.quarantine.store import QuarantineStore
-from wigeonpier.membership.news import EndNews
+from wigeonpier.membership.news import CrashReport
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.platform.port import Failure
 from wigeonpier.web.messages import Request
@@ -53,7 +53,7 @@
     is_proved: bool = True,
 ) -> None:
     entry = QuarantineEntry(
-        (EndNews(fingerprint, 'i-1', 'v1', 0.5, was_alone=True),),
+        (CrashReport(fingerprint, 'i-1', 'v1', 0.5, was_alone=True),),
         time.time() - age,
         is_proved,
     )
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wigeonpier.membership import suspicions as module
-from wigeonpier.membership.news import EndNews, SuspicionNews
+from wigeonpier.membership.news import CrashReport, SuspicionNews
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.policy.suspicion import RunMode
 
@@ -28,7 +28,7 @@
 def test_merge_returns_update_only_once() -> None:
     suspicions = Suspicions()
     update = SuspicionNews(
-        ends=(EndNews('q', 'i', 'v1', 0.1, was_alone=False),)
+        ends=(CrashReport('q', 'i', 'v1', 0.1, was_alone=False),)
     )
     assert suspicions.merge(update) == update
     assert suspicions.merge(update) == SuspicionNews()
@@ -39,7 +39,9 @@
     update = suspicions.note_end('q', 'i', 'v1', was_alone=False)
     suspicions.clear('q')
     suspicions.merge(update)
-    late = SuspicionNews(ends=(EndNews('q', 'j', 'v1', 5, was_alone=False),))
+    late = SuspicionNews(
+        ends=(CrashReport('q', 'j', 'v1', 5, was_alone=False),)
+    )
     suspicions.merge(late)
     assert suspicions.judge('q', V1) is RunMode.free
     suspicions.note_end('q', 'k', 'v1', was_alone=False)
