--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -39,7 +39,7 @@
 from wigeonpier.hosted.suspicionpublisher import SuspicionPublisher
 from wigeonpier.hosted.trials import TrialPlacer
 from wigeonpier.hosted.views import JobViews
-from wigeonpier.membership.ends import EndFinder
+from wigeonpier.membership.ends import CrashDetector
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.platform import ingress
 from wigeonpier.served import (
@@ -238,7 +238,7 @@
         suspects = SuspectWatch(
             self._suspicions,
             self._publisher,
-            EndFinder(common.pool),
+            CrashDetector(common.pool),
             self._replicas,
             common.metrics,
             self._quarantine,
--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -22,7 +22,7 @@
     from wigeonpier.hosted.items import ItemWork
     from wigeonpier.hosted.quarantine.store import QuarantineStore
     from wigeonpier.hosted.upstream import OwnUpstream
-    from wigeonpier.membership.ends import EndFinder
+    from wigeonpier.membership.ends import CrashDetector
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.policy.trial import TrialTable
 
@@ -47,14 +47,14 @@
     :param upstream: where the items run.
     :param suspicions: crashes attributed to suspected requests.
     :param trials: suspected requests at the upstream, online ones included.
-    :param ends: finds out whether the upstream has crashed.
+    :param crash_detector: finds out whether the upstream has crashed.
     :param quarantine: saves refused requests in the store.
     """
 
     upstream: OwnUpstream
     suspicions: Suspicions
     trials: TrialTable
-    ends: EndFinder
+    crash_detector: CrashDetector
     quarantine: QuarantineStore
 
     def is_runnable(self, work: ItemWork) -> bool:
@@ -120,7 +120,7 @@
         if replica is None:
             return False
         start = name_start(replica.name, replica.incarnation)
-        if not self.ends.has_ended(start, replica.address):
+        if not self.crash_detector.has_crashed(start, replica.address):
             return False
         # An upstream that shuts down aborts what it did not finish in time.
         if not replica.is_leaving:
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -17,7 +17,7 @@
     from wigeonpier.hosted.question import Question
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.hosted.suspicionpublisher import SuspicionPublisher
-    from wigeonpier.membership.ends import EndFinder
+    from wigeonpier.membership.ends import CrashDetector
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.policy.route import UpstreamState
     from wigeonpier.telemetry.metrics import Metrics
@@ -53,7 +53,7 @@
 
     :param suspicions: table of suspected requests.
     :param publisher: sends updates to other processes.
-    :param ends: checks whether an upstream has crashed.
+    :param crash_detector: checks whether an upstream has crashed.
     :param replicas: upstreams that may be routed to.
     :param metrics: metrics of this process.
     :param quarantine: persists refused requests.
@@ -62,7 +62,7 @@
 
     suspicions: Suspicions
     publisher: SuspicionPublisher
-    ends: EndFinder
+    crash_detector: CrashDetector
     replicas: ReplicaRegister
     metrics: Metrics
     quarantine: QuarantineStore
@@ -99,7 +99,7 @@
         :param upstream: upstream to which a connection broke.
         :returns: whether it has; false if that cannot be determined.
         """
-        if self.ends.has_ended(upstream.start, upstream.address):
+        if self.crash_detector.has_crashed(upstream.start, upstream.address):
             self.replicas.note_end(upstream.start)
             return True
         return False
--- a/src/wigeonpier/hosted/worker.py
+++ b/src/wigeonpier/hosted/worker.py
@@ -23,7 +23,7 @@
 from wigeonpier.hosted.upstream import OwnUpstream
 from wigeonpier.hosted.usagecounter import UsageCounter
 from wigeonpier.loops import spawn_loop
-from wigeonpier.membership.ends import EndFinder
+from wigeonpier.membership.ends import CrashDetector
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.models import Member
 from wigeonpier.platform import places
@@ -68,7 +68,7 @@
             self._upstream,
             suspicions,
             trials,
-            EndFinder(common.pool),
+            CrashDetector(common.pool),
             quarantine,
         )
         self._runner = ItemRunner(
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -14,7 +14,7 @@
 from wigeonpier.local.suspects import LocalSuspects
 from wigeonpier.local.upstream import UpstreamWatch
 from wigeonpier.local.work import Worker
-from wigeonpier.membership.ends import EndFinder
+from wigeonpier.membership.ends import CrashDetector
 from wigeonpier.membership.exchange import make_exchange_route
 from wigeonpier.membership.messages import (
     Heartbeat,
@@ -183,7 +183,7 @@
             f'{settings.name}/{parts.boot}',
             settings.upstream,
             parts.suspicions,
-            EndFinder(ConnectionPool()),
+            CrashDetector(ConnectionPool()),
             reporter.hurry,
         ),
     )
--- a/src/wigeonpier/local/suspects.py
+++ b/src/wigeonpier/local/suspects.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from wigeonpier.membership.ends import EndFinder
+    from wigeonpier.membership.ends import CrashDetector
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.web.messages import Request
 
@@ -45,7 +45,7 @@
     name: str
     upstream: str
     suspicions: Suspicions
-    crash_detector: EndFinder
+    crash_detector: CrashDetector
     on_crash: Callable[[], None]
     trials: TrialTable = field(default_factory=TrialTable)
     _starts: int = 0
@@ -71,7 +71,7 @@
             suspected.
         """
         start = f'{self.name}-{self._starts}'
-        if not self.crash_detector.has_ended(start, self.upstream):
+        if not self.crash_detector.has_crashed(start, self.upstream):
             return
         now = time.monotonic()
         if now - self._crashed_at > SAME_CRASH_SECONDS:
--- a/src/wigeonpier/membership/ends.py
+++ b/src/wigeonpier/membership/ends.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class EndFinder:
+class CrashDetector:
     """Probes addresses, each with at most one probe at a time.
 
     :param pool: connections; one that a probe opens is kept there.
@@ -40,7 +40,7 @@
         default_factory=dict,
     )
 
-    def has_ended(self, upstream: str, address: str) -> bool:
+    def has_crashed(self, upstream: str, address: str) -> bool:
         """Check whether the process behind a broken connection has crashed.
 
         :param upstream: id of the upstream.
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -30,7 +30,7 @@
 from wigeonpier.hosted.suspicionpublisher import SuspicionPublisher
 from wigeonpier.hosted.trials import TrialPlacer
 from wigeonpier.hosted.worker import WorkerApp
-from wigeonpier.membership.ends import EndFinder
+from wigeonpier.membership.ends import CrashDetector
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.models import Bounds, HostSettings, OpenJob
 from wigeonpier.platform.ingress import QuestionHead
@@ -183,7 +183,7 @@
     suspects = SuspectWatch(
         suspicions,
         SuspicionPublisher(suspicions, replicas, pool, 1, rng),
-        EndFinder(pool),
+        CrashDetector(pool),
         replicas,
         Metrics(),
         SimpleNamespace(note=lambda _fingerprint: None),
--- a/tests/membership/test_ends.py
+++ b/tests/membership/test_ends.py
@@ -8,7 +8,7 @@
 
 from wigeonpier.bench.processes import take_port
 from wigeonpier.bench.proxy import HarmingProxy
-from wigeonpier.membership.ends import EndFinder
+from wigeonpier.membership.ends import CrashDetector
 from wigeonpier.web.pool import ConnectionPool
 
 if TYPE_CHECKING:
@@ -16,15 +16,15 @@
 
 
 def test_refused_connection_means_crash() -> None:
-    detector = EndFinder(ConnectionPool())
-    assert detector.has_ended('vm-1', f'127.0.0.1:{take_port()}')
+    detector = CrashDetector(ConnectionPool())
+    assert detector.has_crashed('vm-1', f'127.0.0.1:{take_port()}')
 
 
 def test_listening_upstream_has_not_crashed() -> None:
     """The probe's connection is kept for the next request."""
     proxy = HarmingProxy('127.0.0.1:1')
     pool = ConnectionPool()
-    assert not EndFinder(pool).has_ended('vm-1', proxy.address)
+    assert not CrashDetector(pool).has_crashed('vm-1', proxy.address)
     assert pool.opened == 1
     proxy.stop()
 
@@ -33,7 +33,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     pool = ConnectionPool()
-    detector = EndFinder(pool)
+    detector = CrashDetector(pool)
     address = f'127.0.0.1:{take_port()}'
     probes = []
     find = pool.find_listener
@@ -44,7 +44,7 @@
 
     monkeypatch.setattr(pool, 'find_listener', count)
     checks = [
-        gevent.spawn(detector.has_ended, 'vm-1', address) for _ in range(9)
+        gevent.spawn(detector.has_crashed, 'vm-1', address) for _ in range(9)
     ]
     gevent.joinall(checks)
     assert all(check.value for check in checks)
