--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -52,7 +52,7 @@
 if TYPE_CHECKING:
     from wigeonpier.hosted.board import Board
     from wigeonpier.hosted.common import Common
-    from wigeonpier.membership.news import SuspicionNews
+    from wigeonpier.membership.news import SuspicionUpdate
     from wigeonpier.models import QuestionLoad
     from wigeonpier.web.messages import Request
 
@@ -271,7 +271,7 @@
         ]
         return [f'{host}:{port}' for host in hosts]
 
-    def _receive_update(self, update: SuspicionNews) -> None:
+    def _receive_update(self, update: SuspicionUpdate) -> None:
         self._publisher.receive(update)
         if self._common.contact.is_lost:
             self._quarantine.replicate_refused(update.condemned)
--- a/src/wigeonpier/hosted/loadfollower.py
+++ b/src/wigeonpier/hosted/loadfollower.py
@@ -26,7 +26,7 @@
 
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.hosted.usagecounter import UsageNews
-    from wigeonpier.membership.news import SuspicionNews
+    from wigeonpier.membership.news import SuspicionUpdate
     from wigeonpier.models import HostSettings, QuestionLoad
     from wigeonpier.web.exchange import Exchange
     from wigeonpier.web.pool import ConnectionPool
@@ -54,7 +54,7 @@
     """
 
     on_load: Callable[[str, QuestionLoad], None]
-    on_news: Callable[[SuspicionNews], None]
+    on_news: Callable[[SuspicionUpdate], None]
     on_followed: Callable[[str], None]
     on_usage: Callable[[str, UsageNews], None]
 
--- a/src/wigeonpier/hosted/news.py
+++ b/src/wigeonpier/hosted/news.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from wigeonpier.hosted.usagecounter import UsageNews
-from wigeonpier.membership.news import CrashReport, SuspicionNews
+from wigeonpier.membership.news import CrashReport, SuspicionUpdate
 from wigeonpier.models import QuestionLoad
 
 
@@ -18,7 +18,7 @@
     """
 
     load: QuestionLoad | None = None
-    news: SuspicionNews | None = None
+    news: SuspicionUpdate | None = None
     usage: UsageNews | None = None
 
 
--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -18,7 +18,7 @@
 from result import Err
 
 from wigeonpier.hosted.news import QuarantineEntry
-from wigeonpier.membership.news import CrashReport, SuspicionNews
+from wigeonpier.membership.news import CrashReport, SuspicionUpdate
 from wigeonpier.platform import places
 from wigeonpier.platform.port import Commit
 from wigeonpier.policy.suspicion import CRASHES_BEFORE_ISOLATION, MEMORY_SECONDS
@@ -144,7 +144,7 @@
                 crashes = tuple(_add_age(entry.ends, age))
                 confirmed = (fingerprint,) if entry.is_proved else ()
                 self._suspicions.merge(
-                    SuspicionNews(crashes, condemned=confirmed)
+                    SuspicionUpdate(crashes, condemned=confirmed)
                 )
 
     def _write_all(self) -> None:
--- a/src/wigeonpier/hosted/suspicionhandler.py
+++ b/src/wigeonpier/hosted/suspicionhandler.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from wigeonpier.membership.news import SuspicionNews
+from wigeonpier.membership.news import SuspicionUpdate
 from wigeonpier.web.messages import Request, Response, decode_body
 from wigeonpier.web.server import Route, make_route
 
@@ -42,7 +42,7 @@
 
     def _receive(self, request: Request) -> Response:
         request.body_limit = MAX_UPDATE_BYTES
-        update = decode_body(request.read_body(), SuspicionNews)
+        update = decode_body(request.read_body(), SuspicionUpdate)
         # Known facts release trials as well: the run that finished or crashed
         # may have been at this upstream.
         for fingerprint in update.cleared:
--- a/src/wigeonpier/hosted/suspicionpublisher.py
+++ b/src/wigeonpier/hosted/suspicionpublisher.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from wigeonpier.hosted.suspicionhandler import NEWS_PATH
-from wigeonpier.membership.news import SuspicionNews
+from wigeonpier.membership.news import SuspicionUpdate
 from wigeonpier.membership.suspicions import ON_ITS_WAY_SECONDS
 from wigeonpier.settings.process import split_address
 from wigeonpier.web.exchange import make_request
@@ -60,24 +60,24 @@
         self._pool = pool
         self._port = port
         self._rng = rng
-        self._pending: list[SuspicionNews] = []
+        self._pending: list[SuspicionUpdate] = []
         self._involved_addresses: set[str] = set()
 
-    def publish(self, update: SuspicionNews, address: str = '') -> None:
+    def publish(self, update: SuspicionUpdate, address: str = '') -> None:
         """Publish an update from this process.
 
         :param update: the update.
         :param address: address of the upstream concerned, whose worker always
             gets the update.
         """
-        if update == SuspicionNews():
+        if update == SuspicionUpdate():
             return
         if not self._pending:
             gevent.spawn_later(BATCH_SECONDS, self._publish_pending)
         self._pending.append(update)
         self._involved_addresses.add(address)
 
-    def receive(self, update: SuspicionNews) -> None:
+    def receive(self, update: SuspicionUpdate) -> None:
         """Merge an update of another process and forward what is new.
 
         :param update: the update.
@@ -86,7 +86,7 @@
             if crash.age < ON_ITS_WAY_SECONDS:
                 self._replicas.note_end(crash.upstream)
         new = self._suspicions.merge(update)
-        if new != SuspicionNews():
+        if new != SuspicionUpdate():
             self._send(new, self._draw_addresses(FORWARD_RECIPIENTS))
 
     def publish_all(self, address: str) -> None:
@@ -102,7 +102,7 @@
         addresses = self._involved_addresses - {''}
         self._pending = []
         self._involved_addresses = set()
-        update = SuspicionNews(
+        update = SuspicionUpdate(
             tuple(crash for one in pending for crash in one.ends),
             tuple(name for one in pending for name in one.cleared),
             tuple(name for one in pending for name in one.kept),
@@ -116,7 +116,7 @@
         addresses = [state.address for state in self._replicas.list_upstreams()]
         return set(self._rng.sample(addresses, min(count, len(addresses))))
 
-    def _send(self, update: SuspicionNews, addresses: set[str]) -> None:
+    def _send(self, update: SuspicionUpdate, addresses: set[str]) -> None:
         body = msgspec.json.encode(update)
         for upstream in addresses:
             host = split_address(upstream)[0]
--- a/src/wigeonpier/membership/exchange.py
+++ b/src/wigeonpier/membership/exchange.py
@@ -11,7 +11,7 @@
 import msgspec
 from result import Err
 
-from wigeonpier.membership.news import SuspicionNews
+from wigeonpier.membership.news import SuspicionUpdate
 from wigeonpier.web.messages import Request, Response, answer_json, decode_body
 from wigeonpier.web.server import Route, make_route
 
@@ -44,7 +44,7 @@
         patience=TIMEOUT_SECONDS,
     )
     if not isinstance(called, Err) and called.ok_value.is_good:
-        suspicions.merge(called.ok_value.decode(SuspicionNews))
+        suspicions.merge(called.ok_value.decode(SuspicionUpdate))
 
 
 def make_exchange_route(suspicions: Suspicions) -> Route:
@@ -56,7 +56,7 @@
 
     def answer(request: Request) -> Response:
         request.body_limit = MAX_UPDATE_BYTES
-        suspicions.merge(decode_body(request.read_body(), SuspicionNews))
+        suspicions.merge(decode_body(request.read_body(), SuspicionUpdate))
         return answer_json(suspicions.describe())
 
     return make_route('POST', EXCHANGE_PATH, answer)
--- a/src/wigeonpier/membership/messages.py
+++ b/src/wigeonpier/membership/messages.py
@@ -8,7 +8,7 @@
 
 from wigeonpier.batch.claims import Claim
 from wigeonpier.batch.models import Job
-from wigeonpier.membership.news import SuspicionNews
+from wigeonpier.membership.news import SuspicionUpdate
 
 
 class Role(StrEnum):
@@ -139,7 +139,7 @@
     wants: int = 0
     held: tuple[str, ...] = ()
     usage: tuple[Usage, ...] = ()
-    suspicions: SuspicionNews = SuspicionNews()
+    suspicions: SuspicionUpdate = SuspicionUpdate()
 
 
 class Offer(msgspec.Struct, kw_only=True):
@@ -177,6 +177,6 @@
     gone: tuple[str, ...] = ()
     offers: tuple[Offer, ...] = ()
     stopped: tuple[str, ...] = ()
-    suspicions: SuspicionNews = SuspicionNews()
+    suspicions: SuspicionUpdate = SuspicionUpdate()
     address: str = ''
     usage: tuple[Usage, ...] = ()
--- a/src/wigeonpier/membership/news.py
+++ b/src/wigeonpier/membership/news.py
@@ -24,7 +24,7 @@
     had_output: bool = False
 
 
-class SuspicionNews(msgspec.Struct, frozen=True, omit_defaults=True):
+class SuspicionUpdate(msgspec.Struct, frozen=True, omit_defaults=True):
     """Changes of the suspected requests.
 
     :param ends: crashes of upstreams.
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -13,7 +13,7 @@
 
 from gevent.event import Event as Signal
 
-from wigeonpier.membership.news import CrashReport, SuspicionNews
+from wigeonpier.membership.news import CrashReport, SuspicionUpdate
 from wigeonpier.policy.suspicion import (
     RENEW_SECONDS,
     RESTLESS_SECONDS,
@@ -53,7 +53,7 @@
         self._cleared: dict[str, float] = {}
         # Requests that the update being merged has confirmed as culprits.
         self._new_culprits: list[str] = []
-        self._log: deque[SuspicionNews] = deque(maxlen=MAX_CHANGES)
+        self._log: deque[SuspicionUpdate] = deque(maxlen=MAX_CHANGES)
         # Positions begin at 1; a follower that has read nothing passes 0.
         self._position = 1
 
@@ -102,7 +102,7 @@
         *,
         was_alone: bool,
         had_output: bool = False,
-    ) -> SuspicionNews:
+    ) -> SuspicionUpdate:
         """Record the crash of an upstream that was running a request.
 
         :param fingerprint: the request.
@@ -115,17 +115,17 @@
         crash = CrashReport(
             fingerprint, upstream, version, 0, was_alone, had_output
         )
-        return self.merge(SuspicionNews(ends=(crash,)))
+        return self.merge(SuspicionUpdate(ends=(crash,)))
 
-    def clear(self, fingerprint: str) -> SuspicionNews:
+    def clear(self, fingerprint: str) -> SuspicionUpdate:
         """Remove a request from the suspects.
 
         :param fingerprint: the request.
         :returns: the update to publish.
         """
-        return self.merge(SuspicionNews(cleared=(fingerprint,)))
+        return self.merge(SuspicionUpdate(cleared=(fingerprint,)))
 
-    def note_repeat(self, fingerprint: str) -> SuspicionNews:
+    def note_repeat(self, fingerprint: str) -> SuspicionUpdate:
         """Record that a refused request was sent again.
 
         :param fingerprint: the request.
@@ -133,12 +133,12 @@
         """
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
-            return SuspicionNews()
+            return SuspicionUpdate()
         if time.monotonic() - suspect.kept_at < RENEW_SECONDS:
-            return SuspicionNews()
-        return self.merge(SuspicionNews(kept=(fingerprint,)))
+            return SuspicionUpdate()
+        return self.merge(SuspicionUpdate(kept=(fingerprint,)))
 
-    def merge(self, update: SuspicionNews) -> SuspicionNews:
+    def merge(self, update: SuspicionUpdate) -> SuspicionUpdate:
         """Merge an update from another process.
 
         :param update: the update.
@@ -151,7 +151,7 @@
         )
         for condemned in update.condemned:
             self._accept_culprit(condemned)
-        fresh = SuspicionNews(
+        fresh = SuspicionUpdate(
             crashes,
             tuple(
                 name for name in update.cleared if self._apply_clear(name, now)
@@ -161,14 +161,14 @@
             ),
             tuple(self._new_culprits),
         )
-        if fresh != SuspicionNews():
+        if fresh != SuspicionUpdate():
             self._log.append(fresh)
             self._position += 1
             self.changed.set()
             self.changed.clear()
         return fresh
 
-    def read_log(self, position: int) -> tuple[int, list[SuspicionNews]]:
+    def read_log(self, position: int) -> tuple[int, list[SuspicionUpdate]]:
         """Read the changes since a position.
 
         :param position: position returned by the last call, 0 at first.
@@ -182,12 +182,12 @@
             changes = [] if self.is_empty else [self.describe()]
         return self._position, changes
 
-    def describe(self) -> SuspicionNews:
+    def describe(self) -> SuspicionUpdate:
         """Describe the whole state.
 
         :returns: all crashes of all suspects, and recently cleared requests.
         """
-        return SuspicionNews(
+        return SuspicionUpdate(
             tuple(
                 crash
                 for fingerprint in self.suspects
@@ -197,7 +197,7 @@
             condemned=tuple(filter(self.is_refused, self.suspects)),
         )
 
-    def summarize(self) -> SuspicionNews:
+    def summarize(self) -> SuspicionUpdate:
         """Describe the part of the state that heartbeats repeat.
 
         :returns: crashes of culprits, then of the latest suspects, and
@@ -210,7 +210,7 @@
                 -self.suspects[name].kept_at,
             ),
         )
-        return SuspicionNews(
+        return SuspicionUpdate(
             tuple(
                 crash
                 for fingerprint in ranked[:MAX_SUMMARIZED]
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wigeonpier.membership import suspicions as module
-from wigeonpier.membership.news import CrashReport, SuspicionNews
+from wigeonpier.membership.news import CrashReport, SuspicionUpdate
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.policy.suspicion import RunMode
 
@@ -27,11 +27,11 @@
 
 def test_merge_returns_update_only_once() -> None:
     suspicions = Suspicions()
-    update = SuspicionNews(
+    update = SuspicionUpdate(
         ends=(CrashReport('q', 'i', 'v1', 0.1, was_alone=False),)
     )
     assert suspicions.merge(update) == update
-    assert suspicions.merge(update) == SuspicionNews()
+    assert suspicions.merge(update) == SuspicionUpdate()
 
 
 def test_cleared_request_ignores_late_reports() -> None:
@@ -39,7 +39,7 @@
     update = suspicions.note_end('q', 'i', 'v1', was_alone=False)
     suspicions.clear('q')
     suspicions.merge(update)
-    late = SuspicionNews(
+    late = SuspicionUpdate(
         ends=(CrashReport('q', 'j', 'v1', 5, was_alone=False),)
     )
     suspicions.merge(late)
@@ -90,7 +90,7 @@
     second = Suspicions()
     second.note_end('other', 'j', 'v1', was_alone=False)
     confirm_culprit(first)
-    ends = SuspicionNews(first.describe().ends)
+    ends = SuspicionUpdate(first.describe().ends)
     second.merge(ends)
     assert second.judge('culprit', V1) is RunMode.alone
     second.merge(first.describe())
