--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -76,7 +76,7 @@
         :param fingerprint: digest of the request.
         """
         if not self._suspicions.is_refused(fingerprint):
-            crashes = tuple(self._suspicions.list_ends(fingerprint))
+            crashes = tuple(self._suspicions.list_crashes(fingerprint))
             if len(crashes) >= CRASHES_BEFORE_ISOLATION:
                 self.replicate(fingerprint, self._encode(fingerprint))
             return
@@ -173,7 +173,7 @@
             self.replicate(fingerprint, self._encode(fingerprint))
 
     def _encode(self, fingerprint: str) -> bytes:
-        crashes = tuple(self._suspicions.list_ends(fingerprint))
+        crashes = tuple(self._suspicions.list_crashes(fingerprint))
         is_proved = self._suspicions.is_refused(fingerprint)
         return msgspec.json.encode(
             QuarantineEntry(crashes, time.time(), is_proved),
--- a/src/wigeonpier/hosted/suspectpage.py
+++ b/src/wigeonpier/hosted/suspectpage.py
@@ -80,7 +80,7 @@
                     name,
                     self._suspicions.is_refused(name),
                     round(now - suspect.kept_at, 1),
-                    tuple(self._suspicions.list_ends(name)),
+                    tuple(self._suspicions.list_crashes(name)),
                 )
                 for name, suspect in self._suspicions.suspects.items()
             ],
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -191,7 +191,7 @@
             tuple(
                 crash
                 for fingerprint in self.suspects
-                for crash in self.list_ends(fingerprint)
+                for crash in self.list_crashes(fingerprint)
             ),
             tuple(self._cleared),
             condemned=tuple(filter(self.is_refused, self.suspects)),
@@ -214,13 +214,13 @@
             tuple(
                 crash
                 for fingerprint in ranked[:MAX_SUMMARIZED]
-                for crash in self.list_ends(fingerprint)
+                for crash in self.list_crashes(fingerprint)
             ),
             tuple(self._cleared)[-MAX_SUMMARIZED:],
             condemned=tuple(filter(self.is_refused, ranked[:MAX_SUMMARIZED])),
         )
 
-    def list_ends(self, fingerprint: str) -> Iterator[CrashReport]:
+    def list_crashes(self, fingerprint: str) -> Iterator[CrashReport]:
         """List the crashes of one request as messages.
 
         :param fingerprint: the request.
--- a/tests/hosted/quarantine/test_replica.py
+++ b/tests/hosted/quarantine/test_replica.py
@@ -126,7 +126,9 @@
     suspicions = Suspicions()
     quarantine = QuarantineStore(FakeStore(), suspicions, lambda _seconds: None)
     quarantine.load(listed)
-    assert [end.age for end in suspicions.list_ends(FINGERPRINT)] == [0.5]
+    assert [crash.age for crash in suspicions.list_crashes(FINGERPRINT)] == [
+        0.5
+    ]
     now[0] += SUSPICION_TTL_SECONDS + 1
     assert not msgspec.json.decode(replica._list(None).body)
 
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -281,6 +281,6 @@
     lose_knowledge(site)
     late_entry = site.add_entry('edge-later')
     wait_for(
-        lambda: len(list(late_entry._suspicions.list_ends(culprit))) > 1,
+        lambda: len(list(late_entry._suspicions.list_crashes(culprit))) > 1,
         'it knows two crashes',
     )
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -90,8 +90,8 @@
     second = Suspicions()
     second.note_end('other', 'j', 'v1', was_alone=False)
     confirm_culprit(first)
-    ends = SuspicionUpdate(first.describe().ends)
-    second.merge(ends)
+    crashes = SuspicionUpdate(first.describe().ends)
+    second.merge(crashes)
     assert second.judge('culprit', V1) is RunMode.alone
     second.merge(first.describe())
     assert second.judge('culprit', V1) is RunMode.refused
