--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -124,7 +124,7 @@
             return False
         # An upstream that shuts down aborts what it did not finish in time.
         if not replica.is_leaving:
-            self.suspicions.note_end(
+            self.suspicions.record_crash(
                 work.fingerprint,
                 start,
                 replica.version,
--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -22,8 +22,8 @@
 from wigeonpier.policy.route import (
     UpstreamState,
     has_ended,
-    note_end,
     note_return,
+    record_crash,
 )
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -99,14 +99,14 @@
         if entry is not None and self.upstreams.get(state.name) is state:
             self._restore_hidden(entry, state)
 
-    def note_end(self, start: str) -> None:
+    def record_crash(self, start: str) -> None:
         """Record that an upstream has crashed.
 
         :param start: its start; another process may have observed the crash.
         """
         for state in self.upstreams.values():
             if state.start == start:
-                note_end(state, time.monotonic())
+                record_crash(state, time.monotonic())
 
     def is_any_ended(self, service: str) -> bool:
         """Check whether an upstream of a service will soon be back.
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -100,7 +100,7 @@
         :returns: whether it has; false if that cannot be determined.
         """
         if self.crash_detector.has_crashed(upstream.start, upstream.address):
-            self.replicas.note_end(upstream.start)
+            self.replicas.record_crash(upstream.start)
             return True
         return False
 
@@ -114,7 +114,7 @@
         # its time is up, which is no crash.
         if upstream.is_leaving:
             return
-        update = self.suspicions.note_end(
+        update = self.suspicions.record_crash(
             question.fingerprint,
             upstream.start,
             upstream.version,
@@ -156,7 +156,7 @@
         self._drop_expired()
         for crash in self.possible_crashes:
             if crash.upstream == upstream.start and not upstream.is_leaving:
-                update = self.suspicions.note_end(
+                update = self.suspicions.record_crash(
                     crash.fingerprint,
                     crash.upstream,
                     upstream.version,
--- a/src/wigeonpier/hosted/suspicionpublisher.py
+++ b/src/wigeonpier/hosted/suspicionpublisher.py
@@ -84,7 +84,7 @@
         """
         for crash in update.ends:
             if crash.age < ON_ITS_WAY_SECONDS:
-                self._replicas.note_end(crash.upstream)
+                self._replicas.record_crash(crash.upstream)
         new = self._suspicions.merge(update)
         if new != SuspicionUpdate():
             self._send(new, self._draw_addresses(FORWARD_RECIPIENTS))
--- a/src/wigeonpier/local/suspects.py
+++ b/src/wigeonpier/local/suspects.py
@@ -77,7 +77,7 @@
         if now - self._crashed_at > SAME_CRASH_SECONDS:
             self._starts += 1
             self._crashed_at = now
-        self.suspicions.note_end(
+        self.suspicions.record_crash(
             fingerprint,
             f'{self.name}-{self._starts}',
             '',
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -94,7 +94,7 @@
             return set()
         return {crash.version for crash in self.suspects[fingerprint].crashes}
 
-    def note_end(
+    def record_crash(
         self,
         fingerprint: str,
         upstream: str,
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -235,7 +235,7 @@
         note_return(state, now)
 
 
-def note_end(state: UpstreamState, now: float) -> None:
+def record_crash(state: UpstreamState, now: float) -> None:
     """Record that the process of an upstream has crashed.
 
     It gets no requests until it is known to be back.
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -13,7 +13,9 @@
 def confirm_culprit(suspicions: Suspicions, name: str = 'culprit') -> None:
     """Record three crashes under a request, the last while it ran alone."""
     for number in range(3):
-        suspicions.note_end(name, f'i-{number}', 'v1', was_alone=number == 2)
+        suspicions.record_crash(
+            name, f'i-{number}', 'v1', was_alone=number == 2
+        )
 
 
 def test_merged_state_refuses_culprit() -> None:
@@ -36,7 +38,7 @@
 
 def test_cleared_request_ignores_late_reports() -> None:
     suspicions = Suspicions()
-    update = suspicions.note_end('q', 'i', 'v1', was_alone=False)
+    update = suspicions.record_crash('q', 'i', 'v1', was_alone=False)
     suspicions.clear('q')
     suspicions.merge(update)
     late = SuspicionUpdate(
@@ -44,16 +46,18 @@
     )
     suspicions.merge(late)
     assert suspicions.judge('q', V1) is RunMode.free
-    suspicions.note_end('q', 'k', 'v1', was_alone=False)
+    suspicions.record_crash('q', 'k', 'v1', was_alone=False)
 
 
 def test_crashes_of_culprit_clear_other_suspects() -> None:
     suspicions = Suspicions()
     for number in (0, 1):
-        suspicions.note_end('innocent', f'i-{number}', 'v1', was_alone=False)
+        suspicions.record_crash(
+            'innocent', f'i-{number}', 'v1', was_alone=False
+        )
     confirm_culprit(suspicions)
     assert suspicions.judge('innocent', V1) is RunMode.free
-    suspicions.note_end('innocent', 'i-2', 'v1', was_alone=True)
+    suspicions.record_crash('innocent', 'i-2', 'v1', was_alone=True)
     assert suspicions.judge('innocent', V1) is RunMode.free
 
 
@@ -61,12 +65,12 @@
     suspicions = Suspicions()
     position, changes = suspicions.read_log(0)
     assert not changes
-    update = suspicions.note_end('q', 'i', 'v1', was_alone=False)
+    update = suspicions.record_crash('q', 'i', 'v1', was_alone=False)
     position, changes = suspicions.read_log(position)
     assert changes == [update]
     assert suspicions.read_log(position) == (position, [])
     for number in range(module.MAX_CHANGES + 1):
-        suspicions.note_end(f'q{number}', 'j', 'v1', was_alone=False)
+        suspicions.record_crash(f'q{number}', 'j', 'v1', was_alone=False)
     _position, changes = suspicions.read_log(position)
     assert [len(change.ends) for change in changes] == [
         len(suspicions.suspects)
@@ -80,7 +84,7 @@
     suspicions = Suspicions()
     confirm_culprit(suspicions)
     for number in range(20):
-        suspicions.note_end(f'q{number}', 'j', 'v1', was_alone=False)
+        suspicions.record_crash(f'q{number}', 'j', 'v1', was_alone=False)
     assert len(suspicions.suspects) == 8
     assert suspicions.judge('culprit', V1) is RunMode.refused
 
@@ -88,7 +92,7 @@
 def test_confirmed_culprit_overrides_local_evidence() -> None:
     first = Suspicions()
     second = Suspicions()
-    second.note_end('other', 'j', 'v1', was_alone=False)
+    second.record_crash('other', 'j', 'v1', was_alone=False)
     confirm_culprit(first)
     crashes = SuspicionUpdate(first.describe().ends)
     second.merge(crashes)
@@ -99,8 +103,8 @@
 
 def test_unrelated_crash_requires_second_crash_alone() -> None:
     suspicions = Suspicions()
-    suspicions.note_end('other', 'j', 'v1', was_alone=False)
+    suspicions.record_crash('other', 'j', 'v1', was_alone=False)
     confirm_culprit(suspicions)
     assert suspicions.judge('culprit', V1) is RunMode.alone
-    suspicions.note_end('culprit', 'i-3', 'v1', was_alone=True)
+    suspicions.record_crash('culprit', 'i-3', 'v1', was_alone=True)
     assert suspicions.judge('culprit', V1) is RunMode.refused
--- a/tests/policy/test_route.py
+++ b/tests/policy/test_route.py
@@ -16,9 +16,9 @@
     choose_upstream,
     estimate_cost,
     find_usable,
-    note_end,
     note_load,
     note_outcome,
+    record_crash,
 )
 
 ASK = Ask('s', 'm', '', 'a', 'r')
@@ -123,7 +123,7 @@
     parts = [{} for _ in range(6)]
     upstreams = _build(parts)
     for state in upstreams[:4]:
-        note_end(state, 10.0)
+        record_crash(state, 10.0)
     for now in (10.0, 10.0 + CRASH_HOLD_SECONDS - 0.1):
         usable = find_usable(upstreams, ASK, now)
         assert {state.name for state in usable} == {'vm-4', 'vm-5'}
@@ -132,7 +132,7 @@
 def test_crashed_upstream_is_usable_when_it_reports_again() -> None:
     """A load that was in flight when it crashed does not count."""
     (state,) = _build([{}])
-    note_end(state, 10.0)
+    record_crash(state, 10.0)
     load = QuestionLoad(0, takes_work=True)
     note_load(state, load, 10.05)
     assert not find_usable([state], ASK, 10.1)
