--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -21,7 +21,7 @@
 from wigeonpier.policy.ranking import choose_subset
 from wigeonpier.policy.route import (
     UpstreamState,
-    has_ended,
+    is_down,
     note_return,
     record_crash,
 )
@@ -116,7 +116,7 @@
         """
         now = time.monotonic()
         return any(
-            has_ended(state, now)
+            is_down(state, now)
             for state in self.upstreams.values()
             if state.service == service
         )
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -166,7 +166,7 @@
         and (not ask.model or ask.model in state.models)
         and not state.is_leaving
         # Crashed upstreams do not count towards the share that may be ejected.
-        and not has_ended(state, now)
+        and not is_down(state, now)
     ]
     remaining = [state for state in serving if state.name not in ask.excluded]
     healthy = [state for state in remaining if _is_healthy(state, now)]
@@ -256,7 +256,7 @@
         state.ended_at = -CRASH_HOLD_SECONDS
 
 
-def has_ended(state: UpstreamState, now: float) -> bool:
+def is_down(state: UpstreamState, now: float) -> bool:
     """Check whether an upstream has crashed and is not known to be back.
 
     :param state: the upstream.
