--- a/src/wigeonpier/hosted/loadfollower.py
+++ b/src/wigeonpier/hosted/loadfollower.py
@@ -14,7 +14,7 @@
 from wigeonpier.hosted.loadfeed import LOAD_PATH
 from wigeonpier.hosted.news import FeedLine
 from wigeonpier.loops import spawn_loop
-from wigeonpier.policy.route import note_load
+from wigeonpier.policy.route import record_load
 from wigeonpier.settings.process import split_address
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -156,4 +156,4 @@
         self._listeners.on_load(split_address(address)[0], load)
         for state in self._replicas.list_upstreams():
             if state.address == address:
-                note_load(state, load, now)
+                record_load(state, load, now)
--- a/src/wigeonpier/hosted/reserver.py
+++ b/src/wigeonpier/hosted/reserver.py
@@ -12,7 +12,7 @@
 from wigeonpier.hosted.news import ReservationAsk, TrialAsk
 from wigeonpier.hosted.reservations import RESERVATION_PATH
 from wigeonpier.models import Reservation
-from wigeonpier.policy.route import note_load
+from wigeonpier.policy.route import record_load
 from wigeonpier.settings.process import split_address
 from wigeonpier.web.exchange import make_request
 
@@ -88,7 +88,7 @@
             # reservations.
             return self._count(Answer.unanswered)
         reservation = called.ok_value.decode(Reservation)
-        note_load(upstream, reservation.load, time.monotonic())
+        record_load(upstream, reservation.load, time.monotonic())
         if reservation.is_granted:
             return self._count(Answer.granted)
         return self._count(Answer(reservation.trial or Answer.refused))
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -214,7 +214,7 @@
     return state.in_hand + others
 
 
-def note_load(state: UpstreamState, load: QuestionLoad, now: float) -> None:
+def record_load(state: UpstreamState, load: QuestionLoad, now: float) -> None:
     """Update an upstream with a load from its local process.
 
     :param state: changed in place, unless the load is of an earlier start.
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -23,7 +23,7 @@
     may_reserve,
     plan_round,
 )
-from wigeonpier.policy.route import Ask, choose_upstream, note_load
+from wigeonpier.policy.route import Ask, choose_upstream, record_load
 from wigeonpier.policy.waiting import (
     LOOK_SECONDS,
     PATIENT_SHARE,
@@ -157,7 +157,7 @@
     ) -> bool:
         self.reservation_attempts += 1
         questions = self._count_at(number)
-        note_load(state, QuestionLoad(questions, takes_work=True), self.now)
+        record_load(state, QuestionLoad(questions, takes_work=True), self.now)
         use = SlotUse(SLOTS, questions, reserved=0)
         return may_reserve(use, is_late=is_late(waited))
 
@@ -250,7 +250,7 @@
         for number in range(self.upstreams):
             for states in self.states:
                 load = QuestionLoad(self._count_at(number), takes_work=True)
-                note_load(states[number], load, self.now)
+                record_load(states[number], load, self.now)
         self._schedule(self.now + REPORT_SECONDS, self._send_feed)
 
     def _count_at(self, number: int) -> int:
--- a/tests/policy/test_route.py
+++ b/tests/policy/test_route.py
@@ -16,9 +16,9 @@
     choose_upstream,
     estimate_cost,
     find_usable,
-    note_load,
     note_outcome,
     record_crash,
+    record_load,
 )
 
 ASK = Ask('s', 'm', '', 'a', 'r')
@@ -134,7 +134,7 @@
     (state,) = _build([{}])
     record_crash(state, 10.0)
     load = QuestionLoad(0, takes_work=True)
-    note_load(state, load, 10.05)
+    record_load(state, load, 10.05)
     assert not find_usable([state], ASK, 10.1)
-    note_load(state, load, 10.0 + LATE_REPORT_SECONDS)
+    record_load(state, load, 10.0 + LATE_REPORT_SECONDS)
     assert find_usable([state], ASK, 10.6)
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -7,7 +7,7 @@
 from tests.builders import build_upstream
 from tests.policy.peakmodel import PeakModel
 from wigeonpier.models import QuestionLoad
-from wigeonpier.policy.route import note_load
+from wigeonpier.policy.route import record_load
 from wigeonpier.policy.waiting import (
     Wait,
     Waited,
@@ -37,16 +37,16 @@
     moves: bool,
 ) -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
-    note_load(current, QuestionLoad(here, takes_work=True), 10.0)
-    note_load(other, QuestionLoad(there, takes_work=True), 10.0)
+    record_load(current, QuestionLoad(here, takes_work=True), 10.0)
+    record_load(other, QuestionLoad(there, takes_work=True), 10.0)
     decided = decide_wait(current, other, Waited(0.5, 0.5), 10.1)
     assert decided is (Wait.move if moves else Wait.stay)
 
 
 def test_outdated_loads_cause_no_moves() -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
-    note_load(current, QuestionLoad(9, takes_work=True), 10.0)
-    note_load(other, QuestionLoad(0, takes_work=True), 8.0)
+    record_load(current, QuestionLoad(9, takes_work=True), 10.0)
+    record_load(other, QuestionLoad(0, takes_work=True), 8.0)
     assert decide_wait(current, other, Waited(2.0, 2.0), 10.1) is Wait.stay
     assert not may_return(other, 10.1)
 
@@ -76,22 +76,22 @@
 
 def test_only_late_requests_step_back_and_only_from_a_queue() -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
-    note_load(current, QuestionLoad(9, takes_work=True), 10.0)
-    note_load(other, QuestionLoad(9, takes_work=True), 10.0)
+    record_load(current, QuestionLoad(9, takes_work=True), 10.0)
+    record_load(other, QuestionLoad(9, takes_work=True), 10.0)
     assert decide_wait(current, other, Waited(0.9, 0.9), 10.1) is Wait.stay
     assert decide_wait(current, other, Waited(1.0, 1.0), 10.1) is Wait.step_back
-    note_load(current, QuestionLoad(8, takes_work=True), 10.0)
+    record_load(current, QuestionLoad(8, takes_work=True), 10.0)
     assert decide_wait(current, other, Waited(1.0, 1.0), 10.1) is Wait.stay
 
 
 def test_unresponsive_upstream_without_a_queue_is_left_early() -> None:
     """An unresponsive upstream that accepted requests cost 1.2 s of each."""
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
-    note_load(current, QuestionLoad(3, takes_work=True), 10.0)
-    note_load(other, QuestionLoad(3, takes_work=True), 10.0)
+    record_load(current, QuestionLoad(3, takes_work=True), 10.0)
+    record_load(other, QuestionLoad(3, takes_work=True), 10.0)
     assert decide_wait(current, other, Waited(1.9, 1.9), 10.1) is Wait.stay
     assert decide_wait(current, other, Waited(2.0, 2.0), 10.1) is Wait.distrust
-    note_load(other, QuestionLoad(8, takes_work=True), 10.0)
+    record_load(other, QuestionLoad(8, takes_work=True), 10.0)
     assert decide_wait(current, other, Waited(2.0, 2.0), 10.1) is Wait.stay
 
 
@@ -99,7 +99,7 @@
     assert limit_step_back(4.7) == 1.5
     assert limit_step_back(1.0) == 0.5
     other = build_upstream('vm-2')
-    note_load(other, QuestionLoad(6, takes_work=True), 10.0)
+    record_load(other, QuestionLoad(6, takes_work=True), 10.0)
     assert may_return(other, 10.1)
     other.sent_since += 1
     assert not may_return(other, 10.1)
