--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -22,8 +22,8 @@
 from wigeonpier.policy.route import (
     UpstreamState,
     is_down,
-    note_return,
     record_crash,
+    record_return,
 )
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -177,7 +177,7 @@
             state = self._add(replica, change.revision)
         if replica.is_leaving and not state.is_leaving:
             self._log(Event.upstream_leaving, state, change.revision)
-        note_return(state, time.monotonic())
+        record_return(state, time.monotonic())
         state.slots = replica.slots
         state.is_leaving = replica.is_leaving
 
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -232,7 +232,7 @@
     state.fed_until = now + FEED_TIMEOUT_SECONDS
     state.takes_work = load.takes_work
     if load.takes_work:
-        note_return(state, now)
+        record_return(state, now)
 
 
 def record_crash(state: UpstreamState, now: float) -> None:
@@ -246,7 +246,7 @@
     state.ended_at = now
 
 
-def note_return(state: UpstreamState, now: float) -> None:
+def record_return(state: UpstreamState, now: float) -> None:
     """Record that an upstream was reported, which ends its time as crashed.
 
     :param state: changed in place, unless the report was sent before the crash.
