--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -15,7 +15,7 @@
 from wigeonpier.invariants import Promise, check_promise
 from wigeonpier.policy.fingerprint import digest_request
 from wigeonpier.policy.retry import Fate, RetryBudget, Try, may_retry
-from wigeonpier.policy.route import Ask, choose_upstream, note_outcome
+from wigeonpier.policy.route import Ask, choose_upstream, record_outcome
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.web import headers
@@ -246,7 +246,7 @@
         )
         now = self.directory.clock()
         if isinstance(opened, Err):
-            note_outcome(state, went_well=False, now=now)
+            record_outcome(state, went_well=False, now=now)
             return Err(_classify_failure(opened.err_value))
         reply = opened.ok_value
         identity = pending.request.identity
@@ -261,9 +261,9 @@
             return Err(_classify_failure(CallFailure.lost))
         if reply.status >= SERVER_ERROR or reply.status == OVERLOAD_STATUS:
             failure = _classify_refusal(reply)
-            note_outcome(state, failure.fate is Fate.not_run, now)
+            record_outcome(state, failure.fate is Fate.not_run, now)
             return Err(failure)
-        note_outcome(state, went_well=True, now=now)
+        record_outcome(state, went_well=True, now=now)
         return Ok(reply)
 
     def _read_response(
@@ -275,7 +275,7 @@
         try:
             body = reply.read()
         except (OSError, HTTPParseError):
-            note_outcome(state, went_well=False, now=self.directory.clock())
+            record_outcome(state, went_well=False, now=self.directory.clock())
             return Err(_classify_failure(CallFailure.lost))
         pending.tokens = _count_tokens(pending, body)
         content_type = reply.get_header('content-type')
@@ -349,7 +349,7 @@
         state: UpstreamState,
         sent: list[bytes],
     ) -> tuple[UpstreamState, StreamReply]:
-        note_outcome(state, went_well=False, now=self.directory.clock())
+        record_outcome(state, went_well=False, now=self.directory.clock())
         pending.compute_fingerprint()
         delivered = assemble(sent)
         body = continue_body(
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -18,7 +18,7 @@
 from wigeonpier.hosted.question import Question
 from wigeonpier.platform import ingress
 from wigeonpier.policy.matching import draw_service
-from wigeonpier.policy.route import note_outcome
+from wigeonpier.policy.route import record_outcome
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.web.exchange import watch_close
@@ -182,7 +182,7 @@
             except OSError as error:
                 return classify_disconnect(error)
             if event is None:
-                note_outcome(upstream, went_well=True, now=time.monotonic())
+                record_outcome(upstream, went_well=True, now=time.monotonic())
                 self._sender.binder.suspects.record_completion(
                     question, upstream
                 )
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -20,7 +20,7 @@
 from wigeonpier.hosted.reserver import Answer
 from wigeonpier.platform import ingress, register
 from wigeonpier.policy import waiting
-from wigeonpier.policy.route import note_outcome
+from wigeonpier.policy.route import record_outcome
 from wigeonpier.policy.trial import IsolationLevel
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -101,7 +101,7 @@
             # does not count towards MAX_SENDS.
             question.tried.discard(upstream.name)
         elif failure not in HEALTH_NEUTRAL:
-            note_outcome(upstream, went_well=False, now=time.monotonic())
+            record_outcome(upstream, went_well=False, now=time.monotonic())
         question.sends[-1].outcome = failure.value
         has_crashed = (
             failure in DISCONNECTS
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -266,7 +266,7 @@
     return now - state.ended_at < CRASH_HOLD_SECONDS
 
 
-def note_outcome(state: UpstreamState, went_well: bool, now: float) -> None:
+def record_outcome(state: UpstreamState, went_well: bool, now: float) -> None:
     """Eject an upstream after failures in a row, longer each time.
 
     :param state: changed in place.
--- a/tests/policy/test_incarnation.py
+++ b/tests/policy/test_incarnation.py
@@ -8,7 +8,7 @@
 from tests.builders import build_upstream
 from wigeonpier.models import QuestionLoad
 from wigeonpier.policy.incarnation import comes_after, is_earlier
-from wigeonpier.policy.route import note_outcome, record_load
+from wigeonpier.policy.route import record_load, record_outcome
 
 STARTS = st.integers(0, 3)
 
@@ -31,7 +31,7 @@
 def test_later_start_does_not_inherit_an_ejection() -> None:
     state = build_upstream('up', incarnation=5)
     for _ in range(3):
-        note_outcome(state, went_well=False, now=10.0)
+        record_outcome(state, went_well=False, now=10.0)
     assert state.ejected_until > 10
     record_load(state, QuestionLoad(0, takes_work=True, incarnation=6), 10.1)
     assert (state.ejected_until, state.ejections) == (0, 0)
--- a/tests/policy/test_route.py
+++ b/tests/policy/test_route.py
@@ -16,9 +16,9 @@
     choose_upstream,
     estimate_cost,
     find_usable,
-    note_outcome,
     record_crash,
     record_load,
+    record_outcome,
 )
 
 ASK = Ask('s', 'm', '', 'a', 'r')
@@ -69,7 +69,7 @@
     state = build_upstream('vm-1')
     streak = 0
     for number, went_well in enumerate(outcomes):
-        note_outcome(state, went_well, now=float(number))
+        record_outcome(state, went_well, now=float(number))
         streak = 0 if went_well else streak + 1
         if streak >= 3:
             assert state.ejected_until > number
@@ -79,7 +79,7 @@
 def test_load_ramps_up_after_an_ejection() -> None:
     state = build_upstream('vm-1')
     for _ in range(3):
-        note_outcome(state, went_well=False, now=0)
+        record_outcome(state, went_well=False, now=0)
     ejected_until = state.ejected_until
     costs = [
         estimate_cost(state, ASK, ejected_until + wait) for wait in (0.1, 2, 6)
