--- a/src/wigeonpier/batch/takeover.py
+++ b/src/wigeonpier/batch/takeover.py
@@ -24,7 +24,7 @@
     Journal,
     Ledger,
     fold_segment,
-    note_loss,
+    record_loss,
 )
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -153,7 +153,7 @@
             ledgers = journal.ledgers
             break
     for ledger in ledgers:
-        note_loss(ledger)
+        record_loss(ledger)
         if ledger.outcome is None:
             # A lost segment may have recorded a start of this item.
             ledger.losses += lost_segments
--- a/src/wigeonpier/local/work.py
+++ b/src/wigeonpier/local/work.py
@@ -22,7 +22,7 @@
 from wigeonpier.local.engine import Engine, Run, RunEnd, prepare_body
 from wigeonpier.local.gate import BatchStream, Gate
 from wigeonpier.loops import spawn_loop
-from wigeonpier.policy.attempts import note_loss
+from wigeonpier.policy.attempts import record_loss
 from wigeonpier.records import Failure, Outcome, Release, Status
 
 if TYPE_CHECKING:
@@ -283,7 +283,7 @@
             case RunEnd.failed:
                 chunk.write(self._make_failure_record(item, run))
             case RunEnd.lost:
-                note_loss(chunk.ledgers[item.index])
+                record_loss(chunk.ledgers[item.index])
         if end in {RunEnd.lost, RunEnd.not_run}:
             self.watch.is_healthy = False
         if self.stock.is_open:
--- a/src/wigeonpier/policy/attempts.py
+++ b/src/wigeonpier/policy/attempts.py
@@ -78,7 +78,7 @@
     """
     match record:
         case Begin(alone=alone):
-            note_loss(ledger)
+            record_loss(ledger)
             ledger.is_open = True
             ledger.was_alone = alone
         case Release():
@@ -109,7 +109,7 @@
     return journal
 
 
-def note_loss(ledger: Ledger) -> None:
+def record_loss(ledger: Ledger) -> None:
     """Record that an item has lost its owner or upstream, if it was open.
 
     :param ledger: its ledger, changed in place.
--- a/tests/batch/test_takeover_machine.py
+++ b/tests/batch/test_takeover_machine.py
@@ -41,7 +41,7 @@
 )
 from wigeonpier.platform.keys import name_chunk
 from wigeonpier.platform.port import Entry, Failure
-from wigeonpier.policy.attempts import Bounds, note_loss
+from wigeonpier.policy.attempts import Bounds, record_loss
 from wigeonpier.records import Outcome, Status
 
 ITEMS = 3
@@ -246,7 +246,7 @@
                     ),
                 )
             else:
-                note_loss(chunk.ledgers[item.index])
+                record_loss(chunk.ledgers[item.index])
                 chunk.plan(item)
         except JournalEndedError:
             chunk.is_lost = True
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -13,7 +13,7 @@
     apply_record,
     decide_item,
     fold_segment,
-    note_loss,
+    record_loss,
     write_snapshot,
 )
 from wigeonpier.records import Begin, Failure, Outcome, Release, Status
@@ -44,7 +44,7 @@
     for idempotent in (True, False):
         after_loss = []
         for each in (ledger, again):
-            note_loss(each)
+            record_loss(each)
             after_loss.append(decide_item(each, idempotent, BOUNDS))
         assert after_loss[0] is after_loss[1]
     assert again.outcome == ledger.outcome
@@ -70,7 +70,7 @@
 @given(RECORDS)
 def test_non_idempotent_item_is_never_run_again_after_a_loss(records) -> None:
     ledger = fold_segment(records, 1).ledgers[0]
-    note_loss(ledger)
+    record_loss(ledger)
     step = decide_item(ledger, idempotent=False, bounds=BOUNDS)
     if ledger.losses or ledger.failures:
         assert step in {Step.settle_unknown, Step.nothing}
@@ -93,5 +93,5 @@
     ledger = Ledger()
     for _ in range(10):
         apply_record(ledger, Begin(0, alone=False))
-        note_loss(ledger)
+        record_loss(ledger)
     assert decide_item(ledger, idempotent=True, bounds=BOUNDS) is Step.run_alone
