--- a/src/wigeonpier/local/gate.py
+++ b/src/wigeonpier/local/gate.py
@@ -240,7 +240,7 @@
         gate = self.gate
         if self.last:
             streams = (self.others + gate.producing) / 2
-            policy.note_gap(gate.model, streams, now - self.last)
+            policy.record_gap(gate.model, streams, now - self.last)
         else:
             gate.producing += 1
         self.last = now
--- a/src/wigeonpier/policy/gate.py
+++ b/src/wigeonpier/policy/gate.py
@@ -55,7 +55,7 @@
     return StepModel()
 
 
-def note_gap(model: StepModel, streams: float, seconds: float) -> None:
+def record_gap(model: StepModel, streams: float, seconds: float) -> None:
     """Add the time between two tokens of one stream.
 
     :param model: changed in place.
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -13,7 +13,7 @@
     count_to_preempt,
     make_model,
     may_admit_batch,
-    note_gap,
+    record_gap,
 )
 
 OCCUPANCIES = st.builds(
@@ -59,7 +59,7 @@
     for _ in range(1500):
         streams = rng.randint(1, 30)
         noise = rng.uniform(0.97, 1.03)
-        note_gap(model, streams, (base + slope * streams) * noise)
+        record_gap(model, streams, (base + slope * streams) * noise)
     # Extrapolation beyond the measured 1 to 30 streams is limited.
     expected = min((0.028 * 0.97 - base) / slope, 15.5 * 1.5 + 4)
     assert abs(count_slots(model, 0.028) - expected) <= max(2, expected * 0.1)
@@ -77,5 +77,5 @@
         is_reading = rng.random() < 0.2
         running = streams // 2 if is_reading else streams
         gap = 0.030 if is_reading else 0.024
-        note_gap(model, running, gap + rng.gauss(0, 0.0005))
+        record_gap(model, running, gap + rng.gauss(0, 0.0005))
     assert count_slots(model, 0.028) <= streams * 2
