--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -160,7 +160,7 @@
         :returns: the upstream's answer.
         :raises Refusal: when no further attempt is allowed.
         """
-        self.budget.note_request()
+        self.budget.record_request()
         try:
             return self._attempt_until_answered(pending)
         except Refusal as refusal:
--- a/src/wigeonpier/policy/retry.py
+++ b/src/wigeonpier/policy/retry.py
@@ -26,7 +26,7 @@
 
     tokens: float = MAX_BUDGET
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Add a share of a retry."""
         self.tokens = min(MAX_BUDGET, self.tokens + BUDGET_PER_REQUEST)
 
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -32,7 +32,7 @@
     budget = RetryBudget()
     retries = 0
     for failed in failures:
-        budget.note_request()
+        budget.record_request()
         last = Try(1, Fate.not_run, idempotent=True, seconds_left=1)
         if failed and may_retry(last, budget):
             budget.note_retry()
