--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -400,7 +400,7 @@
             self.suspect_filter.refresh(pending, state)
         if not may_retry(last, self.budget):
             raise failure.refusal
-        self.budget.note_retry()
+        self.budget.record_retry()
         self.metrics.count('retries_total', service=pending.criteria.service)
         log_event(
             Event.request_retried,
--- a/src/wigeonpier/policy/retry.py
+++ b/src/wigeonpier/policy/retry.py
@@ -30,7 +30,7 @@
         """Add a share of a retry."""
         self.tokens = min(MAX_BUDGET, self.tokens + BUDGET_PER_REQUEST)
 
-    def note_retry(self) -> None:
+    def record_retry(self) -> None:
         """Spend one retry."""
         self.tokens -= 1
 
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -35,7 +35,7 @@
         budget.record_request()
         last = Try(1, Fate.not_run, idempotent=True, seconds_left=1)
         if failed and may_retry(last, budget):
-            budget.note_retry()
+            budget.record_retry()
             retries += 1
     assert retries <= MAX_BUDGET + BUDGET_PER_REQUEST * len(failures)
 
