--- a/src/wigeonpier/hosted/assignments.py
+++ b/src/wigeonpier/hosted/assignments.py
@@ -91,7 +91,7 @@
         is_new = self.view.is_complete and not assignment.is_moved
         if is_new:
             sent_at = assignment.job.sent_at
-            self._clock.note_arrival(sent_at, time.monotonic())
+            self._clock.record_arrival(sent_at, time.monotonic())
         if is_new and assignment.items:
             self._adopt_items(
                 assignment, list(assignment.items), (frozenset(), {})
--- a/src/wigeonpier/policy/jobage.py
+++ b/src/wigeonpier/policy/jobage.py
@@ -27,7 +27,7 @@
     monotonic_at: float
     ahead: float = 0
 
-    def note_arrival(self, sent_at: float, monotonic: float) -> None:
+    def record_arrival(self, sent_at: float, monotonic: float) -> None:
         """Update the estimate with a job that was accepted just now.
 
         :param sent_at: wall clock at its acceptance, on another VM.
