--- a/src/wigeonpier/entry/limits.py
+++ b/src/wigeonpier/entry/limits.py
@@ -359,12 +359,12 @@
         for entry, usage in self.peers.items():
             used = usage.get(customer)
             if used is not None:
-                account.note_elsewhere(entry, used.requests, now)
+                account.record_elsewhere(entry, used.requests, now)
                 total = max(total, used.total)
         # The rest of the total was admitted by entries that are gone; only
         # the previous owner counted it.
         missing = total - account.count_admitted(now)
-        account.note_elsewhere(UNATTRIBUTED, max(0, missing), now)
+        account.record_elsewhere(UNATTRIBUTED, max(0, missing), now)
         self.owned[customer] = account
         return account
 
--- a/src/wigeonpier/policy/ratelimit.py
+++ b/src/wigeonpier/policy/ratelimit.py
@@ -134,7 +134,7 @@
         """
         return sum(sum_spent(window, now) for window in self.windows)
 
-    def note_elsewhere(self, entry: str, requests: float, now: float) -> None:
+    def record_elsewhere(self, entry: str, requests: float, now: float) -> None:
         """Count requests that an entry admitted without this owner.
 
         :param entry: address of the entry.
@@ -178,7 +178,7 @@
     """
     account.used_at = now
     _set_window(account, limit)
-    account.note_elsewhere(demand.entry, demand.elsewhere, now)
+    account.record_elsewhere(demand.entry, demand.elsewhere, now)
     account.in_progress[demand.entry] = demand.in_progress
     fill_bucket(account.tokens, limit.tokens, now)
     account.tokens.tokens -= demand.tokens
