--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -191,7 +191,7 @@
             fingerprint=question.fingerprint,
             caller=question.request.caller,
         )
-        update = self.suspicions.note_repeat(question.fingerprint)
+        update = self.suspicions.record_repeat(question.fingerprint)
         self.publisher.publish(update)
         if update.kept:
             self.quarantine.note(question.fingerprint)
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -125,7 +125,7 @@
         """
         return self.merge(SuspicionUpdate(cleared=(fingerprint,)))
 
-    def note_repeat(self, fingerprint: str) -> SuspicionUpdate:
+    def record_repeat(self, fingerprint: str) -> SuspicionUpdate:
         """Record that a refused request was sent again.
 
         :param fingerprint: the request.
