--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -357,7 +357,7 @@
 
 def _record_itself(app: EntryApp) -> None:
     """Add this entry to its own view of the fleet, without a call."""
-    app.directory.note_heartbeat(_describe(app.parts, app.limits))
+    app.directory.record_heartbeat(_describe(app.parts, app.limits))
     app.reporter.learn_entries(app.directory.list_entries())
     gevent.sleep(SELF_REPORT_SECONDS)
 
--- a/src/wigeonpier/entry/peers.py
+++ b/src/wigeonpier/entry/peers.py
@@ -56,7 +56,7 @@
         :returns: the reply.
         """
         heartbeat = decode_body(request.read_body(), Heartbeat)
-        self.directory.note_heartbeat(heartbeat)
+        self.directory.record_heartbeat(heartbeat)
         self.suspicions.merge(heartbeat.suspicions)
         if heartbeat.role is Role.entry:
             self.limits.record_peer_usage(heartbeat.address, heartbeat.usage)
--- a/src/wigeonpier/membership/directory.py
+++ b/src/wigeonpier/membership/directory.py
@@ -86,7 +86,7 @@
     reported_gone: set[str] = field(default_factory=set)
     _news: News | None = None
 
-    def note_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Record the heartbeat of a process.
 
         :param heartbeat: the heartbeat.
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -60,9 +60,9 @@
 
 
 def test_replaced_folder_is_gone_at_once(directory) -> None:
-    directory.note_heartbeat(_make_heartbeat('vm-1', 'old'))
+    directory.record_heartbeat(_make_heartbeat('vm-1', 'old'))
     assert directory.list_gone() == ()
-    directory.note_heartbeat(_make_heartbeat('vm-1', 'new'))
+    directory.record_heartbeat(_make_heartbeat('vm-1', 'new'))
     assert directory.list_gone() == ('old',)
 
 
@@ -70,7 +70,7 @@
     directory,
     clock,
 ) -> None:
-    directory.note_heartbeat(_make_heartbeat('vm-1', 'old'))
+    directory.record_heartbeat(_make_heartbeat('vm-1', 'old'))
     directory.note_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
     clock.now += GONE_SECONDS + 1
     assert directory.list_gone() == ()
@@ -80,7 +80,7 @@
 
 def test_gone_folders_of_peers_are_listed_unless_live(directory) -> None:
     directory.note_gone(('old', 'there'))
-    directory.note_heartbeat(_make_heartbeat('vm-1', 'there'))
+    directory.record_heartbeat(_make_heartbeat('vm-1', 'there'))
     assert directory.list_gone() == ('old',)
 
 
@@ -88,9 +88,9 @@
     directory,
     clock,
 ) -> None:
-    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
+    directory.record_heartbeat(_make_upstream_heartbeat('vm-1'))
     clock.now += SILENT_SECONDS + 1
-    directory.note_heartbeat(_make_upstream_heartbeat('vm-2'))
+    directory.record_heartbeat(_make_upstream_heartbeat('vm-2'))
     names = [state.name for state in directory.list_upstreams()]
     assert names == ['vm-2']
 
@@ -99,23 +99,23 @@
     directory,
     clock,
 ) -> None:
-    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
+    directory.record_heartbeat(_make_upstream_heartbeat('vm-1'))
     directory.note_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
     clock.now += FORGET_SECONDS + 1
     assert [state.name for state in directory.list_upstreams()] == ['vm-1']
 
 
 def test_restart_resets_routing_state(directory) -> None:
-    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
+    directory.record_heartbeat(_make_upstream_heartbeat('vm-1'))
     directory.upstreams['vm-1'].ejections = 4
-    directory.note_heartbeat(_make_upstream_heartbeat('vm-1', boot='again'))
+    directory.record_heartbeat(_make_upstream_heartbeat('vm-1', boot='again'))
     assert directory.upstreams['vm-1'].ejections == 0
 
 
 def test_drained_vm_stays_leaving_despite_heartbeats(directory) -> None:
-    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
+    directory.record_heartbeat(_make_upstream_heartbeat('vm-1'))
     directory.mark_leaving('vm-1')
-    directory.note_heartbeat(_make_upstream_heartbeat('vm-1'))
+    directory.record_heartbeat(_make_upstream_heartbeat('vm-1'))
     assert directory.upstreams['vm-1'].is_leaving
     directory.unmark_leaving('vm-1')
     assert not directory.upstreams['vm-1'].is_leaving
