--- a/src/wigeonpier/membership/directory.py
+++ b/src/wigeonpier/membership/directory.py
@@ -98,7 +98,7 @@
             incarnation = heartbeat.disk.incarnation
             self.homes[incarnation] = DiskSighting(heartbeat.name, now)
         if heartbeat.upstream is not None:
-            self._note_upstream(heartbeat, now, is_new)
+            self._record_upstream(heartbeat, now, is_new)
 
     def note_vms(self, vms: tuple[Vm, ...]) -> None:
         """Replace the VM list.
@@ -275,7 +275,7 @@
         known = self.members.get(heartbeat.name)
         return known is not None and known.heartbeat.boot == heartbeat.boot
 
-    def _note_upstream(
+    def _record_upstream(
         self,
         heartbeat: Heartbeat,
         now: float,
