--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -375,7 +375,7 @@
 def _update_vms(app: EntryApp) -> None:
     listed = app.parts.platform.list_vms()
     if listed.is_ok():
-        app.directory.note_vms(listed.unwrap())
+        app.directory.update_vms(listed.unwrap())
     app.limits.remove_entries(set(app.directory.list_entries()))
     gevent.sleep(VM_POLL_SECONDS)
 
--- a/src/wigeonpier/membership/directory.py
+++ b/src/wigeonpier/membership/directory.py
@@ -100,7 +100,7 @@
         if heartbeat.upstream is not None:
             self._record_upstream(heartbeat, now, is_new)
 
-    def note_vms(self, vms: tuple[Vm, ...]) -> None:
+    def update_vms(self, vms: tuple[Vm, ...]) -> None:
         """Replace the VM list.
 
         :param vms: the new list.
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -71,10 +71,10 @@
     clock,
 ) -> None:
     directory.record_heartbeat(_make_heartbeat('vm-1', 'old'))
-    directory.note_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
+    directory.update_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
     clock.now += GONE_SECONDS + 1
     assert directory.list_gone() == ()
-    directory.note_vms(())
+    directory.update_vms(())
     assert directory.list_gone() == ('old',)
 
 
@@ -100,7 +100,7 @@
     clock,
 ) -> None:
     directory.record_heartbeat(_make_upstream_heartbeat('vm-1'))
-    directory.note_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
+    directory.update_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
     clock.now += FORGET_SECONDS + 1
     assert [state.name for state in directory.list_upstreams()] == ['vm-1']
 
