--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -151,7 +151,7 @@
         return left
 
     def _handle_reply(self, reply: HeartbeatReply) -> None:
-        self.directory.note_gone(reply.gone)
+        self.directory.add_lost_folders(reply.gone)
         self.parts.suspicions.merge(reply.suspicions)
         self.limits.record_peer_usage(reply.address, reply.usage)
 
@@ -332,7 +332,7 @@
         platform=parts.platform,
         disks=disks,
         list_disks=directory.list_disks,
-        is_gone=lambda copy: copy in directory.list_gone(),
+        is_gone=lambda copy: copy in directory.list_lost_folders(),
         owner=parts.settings.name,
         copies=batch.copies,
         least_copies=batch.least_copies,
--- a/src/wigeonpier/entry/copies.py
+++ b/src/wigeonpier/entry/copies.py
@@ -77,7 +77,7 @@
     def _run(self) -> None:
         gevent.sleep(SCAN_PERIOD_SECONDS)
         now = self.directory.clock()
-        for gone in self.directory.list_gone():
+        for gone in self.directory.list_lost_folders():
             due = self._next_scan.get(gone, 0)
             if now >= due and self._is_responsible(gone):
                 failed = self.repair_records(gone)
--- a/src/wigeonpier/membership/directory.py
+++ b/src/wigeonpier/membership/directory.py
@@ -169,7 +169,7 @@
             and not member.heartbeat.is_leaving
         ]
 
-    def list_gone(self) -> tuple[str, ...]:
+    def list_lost_folders(self) -> tuple[str, ...]:
         """List data folders that are lost for good.
 
         A folder is gone when its VM has reported another one, or when it has
@@ -185,7 +185,7 @@
         live = {disk.incarnation for disk in self.report_disks()}
         return tuple(sorted((observed_gone | self.reported_gone) - live))
 
-    def note_gone(self, gone: tuple[str, ...]) -> None:
+    def add_lost_folders(self, gone: tuple[str, ...]) -> None:
         """Record folders that another entry reports as gone.
 
         An entry that has just started may have to act on a folder without
@@ -209,7 +209,7 @@
                 now,
                 tuple(self.list_entries()),
                 self.report_disks(),
-                self.list_gone(),
+                self.list_lost_folders(),
             )
         return self._news
 
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -61,9 +61,9 @@
 
 def test_replaced_folder_is_gone_at_once(directory) -> None:
     directory.record_heartbeat(_make_heartbeat('vm-1', 'old'))
-    assert directory.list_gone() == ()
+    assert directory.list_lost_folders() == ()
     directory.record_heartbeat(_make_heartbeat('vm-1', 'new'))
-    assert directory.list_gone() == ('old',)
+    assert directory.list_lost_folders() == ('old',)
 
 
 def test_silent_folder_is_gone_once_its_vm_is_unlisted(
@@ -73,15 +73,15 @@
     directory.record_heartbeat(_make_heartbeat('vm-1', 'old'))
     directory.update_vms((Vm('vm-1', 'vm-1:1', 'a', VmState.live),))
     clock.now += GONE_SECONDS + 1
-    assert directory.list_gone() == ()
+    assert directory.list_lost_folders() == ()
     directory.update_vms(())
-    assert directory.list_gone() == ('old',)
+    assert directory.list_lost_folders() == ('old',)
 
 
 def test_gone_folders_of_peers_are_listed_unless_live(directory) -> None:
-    directory.note_gone(('old', 'there'))
+    directory.add_lost_folders(('old', 'there'))
     directory.record_heartbeat(_make_heartbeat('vm-1', 'there'))
-    assert directory.list_gone() == ('old',)
+    assert directory.list_lost_folders() == ('old',)
 
 
 def test_silent_upstreams_are_skipped_while_others_are_live(
