--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -130,7 +130,7 @@
     def release(self) -> None:
         if self.is_open:
             self.is_open = False
-            self.state.in_hand -= 1
+            self.state.in_flight -= 1
             self.reply.close()
 
 
@@ -209,16 +209,16 @@
             Promise.runs_at_most_once,
             pending.request.identity,
         )
-        state.in_hand += 1
+        state.in_flight += 1
         opened = self._open(pending, state)
         if isinstance(opened, Err):
-            state.in_hand -= 1
+            state.in_flight -= 1
             return opened
         reply = opened.ok_value
         if reply.get_header('content-type').startswith(EVENT_STREAM_TYPE):
             return Ok(self._start_stream(pending, state, reply))
         response = self._read_response(pending, state, reply)
-        state.in_hand -= 1
+        state.in_flight -= 1
         reply.close()
         return response
 
@@ -373,11 +373,11 @@
                 tokens=len(delivered.parts),
             )
             continuation.attempts += 1
-            state.in_hand += 1
+            state.in_flight += 1
             opened = self._open(continuation, state)
             if isinstance(opened, Ok):
                 return state, opened.ok_value
-            state.in_hand -= 1
+            state.in_flight -= 1
 
     def _plan_retry(
         self,
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -178,7 +178,7 @@
         self.sends.append(
             SendRecord(
                 upstream.name,
-                upstream.in_hand,
+                upstream.in_flight,
                 upstream.reported,
                 round(now - upstream.reported_at, 3),
                 round(now - self.began_at, 3),
@@ -192,7 +192,7 @@
         :param upstream: the upstream.
         :param exchange: the exchange with it.
         """
-        upstream.in_hand += 1
+        upstream.in_flight += 1
         self.runs += 1
         self.upstream = upstream
         self.exchange = exchange
@@ -204,7 +204,7 @@
             request at the upstream.
         """
         if self.upstream is not None:
-            self.upstream.in_hand -= 1
+            self.upstream.in_flight -= 1
             self.upstream = None
         if self.exchange is not None:
             if is_broken or not self.exchange.is_whole:
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -52,7 +52,7 @@
     :param data_centre: data centre that it runs in.
     :param region: region of its data centre.
     :param slots: streams that it can run within its latency target.
-    :param in_hand: requests of this entry in progress there.
+    :param in_flight: requests of this entry in progress there.
     :param reported: online requests in its last report.
     :param reported_at: when it reported, seconds.
     :param sent_since: requests of this entry that the report lacks.
@@ -74,7 +74,7 @@
     data_centre: str
     region: str
     slots: int = 8
-    in_hand: int = 0
+    in_flight: int = 0
     reported: int = 0
     reported_at: float = 0
     sent_since: int = 0
@@ -210,8 +210,8 @@
         return state.reported + state.sent_since
     age = now - state.reported_at
     weight = max(0, 1 - age / MAX_REPORT_AGE_SECONDS)
-    others = max(0, state.reported - state.in_hand) * weight
-    return state.in_hand + others
+    others = max(0, state.reported - state.in_flight) * weight
+    return state.in_flight + others
 
 
 def record_load(state: UpstreamState, load: QuestionLoad, now: float) -> None:
--- a/tests/entry/test_forward.py
+++ b/tests/entry/test_forward.py
@@ -102,5 +102,5 @@
         assert caller.returned.count(CallFailure.lost) <= 1
         assert CallFailure.lost not in caller.returned[:-1]
     assert all(
-        state.in_hand == 0 for state in forwarder.directory.upstreams.values()
+        state.in_flight == 0 for state in forwarder.directory.upstreams.values()
     )
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -162,7 +162,7 @@
         return may_reserve(use, is_late=is_late(waited))
 
     def _send(self, request: ModelRequest, chosen: UpstreamState) -> None:
-        chosen.in_hand += 1
+        chosen.in_flight += 1
         chosen.sent_since += 1
         number = self.states[request.entry].index(chosen)
         self.queues[number].append(request)
@@ -217,13 +217,13 @@
     ) -> None:
         number = self.states[request.entry].index(current)
         self.queues[number].remove(request)
-        current.in_hand -= 1
+        current.in_flight -= 1
         self.moves += 1
 
     def _send_again(self, request: ModelRequest, other: UpstreamState) -> None:
         number = self.states[request.entry].index(other)
         self.queues[number].append(request)
-        other.in_hand += 1
+        other.in_flight += 1
         other.sent_since += 1
         self._fill(number)
 
@@ -241,7 +241,7 @@
         self.running[number] -= 1
         self._fill(number)
         state = self.states[request.entry][number]
-        state.in_hand -= 1
+        state.in_flight -= 1
         if not self.has_feed:
             state.reported = self._count_at(number)
             state.reported_at = self.now
--- a/tests/policy/test_peakmodel.py
+++ b/tests/policy/test_peakmodel.py
@@ -20,7 +20,7 @@
 
 
 def test_requests_sent_since_the_report_count() -> None:
-    state = build_upstream('vm-1', in_hand=5)
+    state = build_upstream('vm-1', in_flight=5)
     record_load(state, QuestionLoad(2, takes_work=True), 10.0)
     before = estimate_cost(state, ASK, now=10.0)
     state.sent_since += 1
--- a/tests/policy/test_route.py
+++ b/tests/policy/test_route.py
@@ -24,10 +24,10 @@
 ASK = Ask('s', 'm', '', 'a', 'r')
 STATES = st.lists(
     st.builds(
-        lambda is_leaving, ejected_until, in_hand, centre: {
+        lambda is_leaving, ejected_until, in_flight, centre: {
             'is_leaving': is_leaving,
             'ejected_until': ejected_until,
-            'in_hand': in_hand,
+            'in_flight': in_flight,
             'data_centre': centre,
         },
         st.booleans(),
@@ -88,7 +88,7 @@
 
 
 def test_own_count_outweighs_an_old_report() -> None:
-    state = build_upstream('vm-1', in_hand=2, reported=20, reported_at=0.0)
+    state = build_upstream('vm-1', in_flight=2, reported=20, reported_at=0.0)
     fresh = estimate_cost(state, ASK, now=0.0)
     old = estimate_cost(state, ASK, now=30.0)
     assert fresh > old == (2 + 1) / 8
@@ -100,7 +100,7 @@
     rng = random.Random(1)
     preferred = choose_upstream(states, ask, 0, rng)
     assert choose_upstream(states, ask, 0, rng) is preferred
-    preferred.in_hand = 8
+    preferred.in_flight = 8
     assert choose_upstream(states, ask, 0, rng) is not preferred
 
 
@@ -109,7 +109,7 @@
     far = build_upstream('far', data_centre='b')
     rng = random.Random(1)
     assert choose_upstream([near, far], ASK, 0, rng) is near
-    near.in_hand = 5
+    near.in_flight = 5
     assert choose_upstream([near, far], ASK, 0, rng) is far
 
 
