--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -188,7 +188,7 @@
             if candidate is None:
                 break
             # Without a load feed there is no worker to reserve a slot at.
-            if candidate.fed_until <= time.monotonic():
+            if candidate.load_fresh_until <= time.monotonic():
                 return candidate
             reservation_outcome = self.reserve_at(request, candidate)
             if reservation_outcome is Answer.granted:
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -267,7 +267,7 @@
         hosts = [
             split_address(state.address)[0]
             for state in self._replicas.list_upstreams()
-            if state.fed_until > now
+            if state.load_fresh_until > now
         ]
         return [f'{host}:{port}' for host in hosts]
 
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -174,7 +174,7 @@
         """
         now = time.monotonic()
         self.tried.add(upstream.name)
-        upstream.sent_since += 1
+        upstream.sent_since_report += 1
         self.sends.append(
             SendRecord(
                 upstream.name,
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -316,7 +316,7 @@
 
 def _record_load(upstream: UpstreamState, exchange: Exchange) -> None:
     """Record the load that a response reports, unless a load feed is open."""
-    if upstream.fed_until > time.monotonic():
+    if upstream.load_fresh_until > time.monotonic():
         return
     load = register.parse_load(ingress.get_load(exchange))
     if load is not None:
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -55,8 +55,8 @@
     :param in_flight: requests of this entry in progress there.
     :param reported: online requests in its last report.
     :param reported_at: when it reported, seconds.
-    :param sent_since: requests of this entry that the report lacks.
-    :param fed_until: until when the report counts as fresh, seconds.
+    :param sent_since_report: requests of this entry that the report lacks.
+    :param load_fresh_until: until when the report counts as fresh, seconds.
     :param takes_work: whether its local process reports it as healthy.
     :param is_leaving: whether it is draining and gets no new requests.
     :param failures: failed requests in a row.
@@ -77,8 +77,8 @@
     in_flight: int = 0
     reported: int = 0
     reported_at: float = 0
-    sent_since: int = 0
-    fed_until: float = 0
+    sent_since_report: int = 0
+    load_fresh_until: float = 0
     takes_work: bool = True
     is_leaving: bool = False
     failures: int = 0
@@ -206,8 +206,8 @@
     :param now: seconds.
     :returns: requests, without those that are preempted for others.
     """
-    if state.fed_until > now:
-        return state.reported + state.sent_since
+    if state.load_fresh_until > now:
+        return state.reported + state.sent_since_report
     age = now - state.reported_at
     weight = max(0, 1 - age / MAX_REPORT_AGE_SECONDS)
     others = max(0, state.reported - state.in_flight) * weight
@@ -228,8 +228,8 @@
         state.incarnation = load.incarnation
     state.reported = load.questions
     state.reported_at = now
-    state.sent_since = 0
-    state.fed_until = now + FEED_TIMEOUT_SECONDS
+    state.sent_since_report = 0
+    state.load_fresh_until = now + FEED_TIMEOUT_SECONDS
     state.takes_work = load.takes_work
     if load.takes_work:
         record_return(state, now)
@@ -298,7 +298,7 @@
 
 
 def _is_healthy(state: UpstreamState, now: float) -> bool:
-    reports_unhealthy = state.fed_until > now and not state.takes_work
+    reports_unhealthy = state.load_fresh_until > now and not state.takes_work
     return state.ejected_until <= now and not reports_unhealthy
 
 
--- a/src/wigeonpier/policy/waiting.py
+++ b/src/wigeonpier/policy/waiting.py
@@ -80,7 +80,7 @@
         current upstream, ``stay`` until twice the objective, since a prompt may
         be long.
     """
-    if current.fed_until <= now or other.fed_until <= now:
+    if current.load_fresh_until <= now or other.load_fresh_until <= now:
         return Wait.stay
     has_room = count_requests(other, now) < other.slots
     if count_requests(current, now) <= current.slots:
@@ -98,7 +98,7 @@
     :param now: seconds.
     :returns: true where a fresh load shows room for it and for others.
     """
-    if other.fed_until <= now:
+    if other.load_fresh_until <= now:
         return False
     return count_requests(other, now) < other.slots - SLOTS_LEFT_TO_OTHERS
 
--- a/tests/hosted/test_load.py
+++ b/tests/hosted/test_load.py
@@ -26,7 +26,7 @@
 def _wait_until_fed(site: HostedSite) -> None:
     wait_for(
         lambda: all(
-            state.fed_until
+            state.load_fresh_until
             for state in site.entries[0]._replicas.list_upstreams()
         ),
         'the load of each upstream is reported',
--- a/tests/hosted/test_reservations.py
+++ b/tests/hosted/test_reservations.py
@@ -16,7 +16,7 @@
 def _wait_until_fed(site: HostedSite) -> None:
     states = site.entries[0]._replicas.list_upstreams
     wait_for(
-        lambda: states() and all(state.fed_until for state in states()),
+        lambda: states() and all(state.load_fresh_until for state in states()),
         'the load of each upstream is reported',
     )
 
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -163,7 +163,7 @@
 
     def _send(self, request: ModelRequest, chosen: UpstreamState) -> None:
         chosen.in_flight += 1
-        chosen.sent_since += 1
+        chosen.sent_since_report += 1
         number = self.states[request.entry].index(chosen)
         self.queues[number].append(request)
         self._fill(number)
@@ -224,7 +224,7 @@
         number = self.states[request.entry].index(other)
         self.queues[number].append(request)
         other.in_flight += 1
-        other.sent_since += 1
+        other.sent_since_report += 1
         self._fill(number)
 
     def _fill(self, number: int) -> None:
--- a/tests/policy/test_peakmodel.py
+++ b/tests/policy/test_peakmodel.py
@@ -23,7 +23,7 @@
     state = build_upstream('vm-1', in_flight=5)
     record_load(state, QuestionLoad(2, takes_work=True), 10.0)
     before = estimate_cost(state, ASK, now=10.0)
-    state.sent_since += 1
+    state.sent_since_report += 1
     assert before == 3 / 8
     assert estimate_cost(state, ASK, now=10.0) == 4 / 8
 
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -101,5 +101,5 @@
     other = build_upstream('vm-2')
     record_load(other, QuestionLoad(6, takes_work=True), 10.0)
     assert may_return(other, 10.1)
-    other.sent_since += 1
+    other.sent_since_report += 1
     assert not may_return(other, 10.1)
