--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -64,7 +64,7 @@
     :param ejected_until: gets no requests before then, seconds.
     :param incarnation: grows with each start, 0 where it is unknown.
     :param version: version of its software.
-    :param ended_at: when it was last known to have crashed, seconds.
+    :param crashed_at: when it was last known to have crashed, seconds.
     """
 
     name: str
@@ -86,7 +86,7 @@
     ejected_until: float = 0
     incarnation: int = 0
     version: str = ''
-    ended_at: float = -CRASH_HOLD_SECONDS
+    crashed_at: float = -CRASH_HOLD_SECONDS
 
     @property
     def start(self) -> str:
@@ -243,7 +243,7 @@
     :param state: changed in place.
     :param now: seconds.
     """
-    state.ended_at = now
+    state.crashed_at = now
 
 
 def record_return(state: UpstreamState, now: float) -> None:
@@ -252,8 +252,8 @@
     :param state: changed in place, unless the report was sent before the crash.
     :param now: seconds.
     """
-    if now - state.ended_at >= LATE_REPORT_SECONDS:
-        state.ended_at = -CRASH_HOLD_SECONDS
+    if now - state.crashed_at >= LATE_REPORT_SECONDS:
+        state.crashed_at = -CRASH_HOLD_SECONDS
 
 
 def is_down(state: UpstreamState, now: float) -> bool:
@@ -263,7 +263,7 @@
     :param now: seconds.
     :returns: false again after a while; by then it is reported or removed.
     """
-    return now - state.ended_at < CRASH_HOLD_SECONDS
+    return now - state.crashed_at < CRASH_HOLD_SECONDS
 
 
 def record_outcome(state: UpstreamState, went_well: bool, now: float) -> None:
