--- a/src/wigeonpier/entry/peers.py
+++ b/src/wigeonpier/entry/peers.py
@@ -62,7 +62,7 @@
             self.limits.record_peer_usage(heartbeat.address, heartbeat.usage)
         if heartbeat.version > self.holder.version:
             gevent.spawn(self._fetch_configuration, heartbeat.address)
-        summary = self.directory.collect_news()
+        summary = self.directory.summarize_fleet()
         return answer_json(
             HeartbeatReply(
                 version=self.holder.version,
--- a/src/wigeonpier/membership/directory.py
+++ b/src/wigeonpier/membership/directory.py
@@ -18,7 +18,7 @@
 SILENT_SECONDS = 3.0
 FORGET_SECONDS = 15.0
 GONE_SECONDS = 30.0
-NEWS_SECONDS = 0.2
+SUMMARY_SECONDS = 0.2
 UNKNOWN_REGION = ''
 
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class FleetSummary:
     """Fleet state that replies to heartbeats carry.
 
     :param made: when it was built, seconds.
@@ -84,7 +84,7 @@
     listed_vms: dict[str, Vm] = field(default_factory=dict)
     homes: dict[str, DiskSighting] = field(default_factory=dict)
     reported_gone: set[str] = field(default_factory=set)
-    _news: News | None = None
+    _summary: FleetSummary | None = None
 
     def record_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Record the heartbeat of a process.
@@ -195,7 +195,7 @@
         """
         self.reported_gone.update(gone)
 
-    def collect_news(self) -> News:
+    def summarize_fleet(self) -> FleetSummary:
         """Collect the fleet state for replies, at most a few times a second.
 
         Building it for each heartbeat would cost time in proportion to the
@@ -204,14 +204,14 @@
         :returns: the fleet state.
         """
         now = self.clock()
-        if self._news is None or now - self._news.made > NEWS_SECONDS:
-            self._news = News(
+        if self._summary is None or now - self._summary.made > SUMMARY_SECONDS:
+            self._summary = FleetSummary(
                 now,
                 tuple(self.list_entries()),
                 self.report_disks(),
                 self.list_lost_folders(),
             )
-        return self._news
+        return self._summary
 
     def report_disks(self) -> tuple[DiskReport, ...]:
         """List the reports of live data folders for peers.
