--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -37,7 +37,7 @@
 from wigeonpier.membership.reporter import (
     CONFIGURATION_PATH,
     HEARTBEAT_PATH,
-    Reporter,
+    HeartbeatSender,
 )
 from wigeonpier.platform import keys
 from wigeonpier.platform.view import PrefixView
@@ -91,7 +91,7 @@
     :param limits: limits of customers.
     :param key_ring: customers by key.
     :param configuration: accepts configurations.
-    :param reporter: sends heartbeats to the other entries.
+    :param heartbeat_sender: sends heartbeats to the other entries.
     :param finalizer: finalizes jobs.
     :param copies: replaces lost copies.
     :param views: watched keys of the key-value service.
@@ -108,7 +108,7 @@
     limits: CustomerLimits
     key_ring: KeyRing
     configuration: ConfigurationHandler
-    reporter: Reporter
+    heartbeat_sender: HeartbeatSender
     finalizer: JobFinalizer
     copies: CopyRepairer
     views: tuple[PrefixView, ...]
@@ -123,10 +123,10 @@
         """
         self.parts.address = self.server.address
         self.parts.holder.listen(self.key_ring.load)
-        self.reporter.on_reply = self._handle_reply
+        self.heartbeat_sender.on_reply = self._handle_reply
         for view in self.views:
             view.start()
-        for controller in (self.finalizer, self.copies, self.reporter):
+        for controller in (self.finalizer, self.copies, self.heartbeat_sender):
             controller.start()
         spawn_loop('vm list', lambda: _update_vms(self))
         spawn_loop('limits', lambda: _report_tokens(self))
@@ -144,7 +144,7 @@
         deadline = time.monotonic() + seconds
         self.parts.is_leaving = True
         self.server.is_closing = True
-        self.reporter.hurry()
+        self.heartbeat_sender.send_soon()
         gevent.sleep(min(self.grace_seconds, seconds))
         left = self.server.drain(max(0, deadline - time.monotonic()))
         self.admin.drain(0)
@@ -184,7 +184,7 @@
         lambda file_id: _read_on_disks(directory, disks, file_id),
     )
     key_ring = KeyRing()
-    reporter = Reporter(
+    heartbeat_sender = HeartbeatSender(
         parts.caller,
         parts.holder,
         settings.entries,
@@ -194,7 +194,7 @@
     )
     limits = CustomerLimits(
         clock,
-        make_fleet(parts, directory, reporter),
+        make_fleet(parts, directory, heartbeat_sender),
         parts.draw,
         parts.boot,
     )
@@ -243,7 +243,7 @@
         limits=limits,
         key_ring=key_ring,
         configuration=configuration,
-        reporter=reporter,
+        heartbeat_sender=heartbeat_sender,
         finalizer=finalizer,
         copies=CopyRepairer(parts.platform, disks, directory, server.address),
         views=_make_views(parts, board),
@@ -358,7 +358,7 @@
 def _record_itself(app: EntryApp) -> None:
     """Add this entry to its own view of the fleet, without a call."""
     app.directory.record_heartbeat(_describe(app.parts, app.limits))
-    app.reporter.learn_entries(app.directory.list_entries())
+    app.heartbeat_sender.add_entries(app.directory.list_entries())
     gevent.sleep(SELF_REPORT_SECONDS)
 
 
--- a/src/wigeonpier/entry/limitcalls.py
+++ b/src/wigeonpier/entry/limitcalls.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from wigeonpier.membership.directory import Directory
     from wigeonpier.membership.messages import LimitCall
-    from wigeonpier.membership.reporter import Reporter
+    from wigeonpier.membership.reporter import HeartbeatSender
     from wigeonpier.process import Parts
 
 LIMIT_PATH = '/peer/v1/limit'
@@ -26,23 +26,29 @@
 def make_fleet(
     parts: Parts,
     directory: Directory,
-    reporter: Reporter,
+    heartbeat_sender: HeartbeatSender,
 ) -> Fleet:
     """Make the access of the limits to the other entries.
 
     :param parts: address of this entry and its connections.
     :param directory: entries that have sent heartbeats.
-    :param reporter: entries that are known from replies and settings.
+    :param heartbeat_sender: entries that are known from replies and settings.
     :returns: the access.
     """
 
     def list_entries() -> list[str]:
         # What the others have admitted is unknown before the first replies.
-        return directory.list_live_entries() if reporter.has_beaten else []
+        return (
+            directory.list_live_entries()
+            if heartbeat_sender.has_tried_all
+            else []
+        )
 
     def count_entries() -> int:
         known = directory.list_entries()
-        return len({*known, *reporter.neighbours.entries, parts.address})
+        return len(
+            {*known, *heartbeat_sender.neighbours.entries, parts.address}
+        )
 
     def call_owner(owner: str, call: LimitCall) -> LimitAnswer | None:
         called = parts.caller.call(
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -22,7 +22,7 @@
     Role,
     UpstreamReport,
 )
-from wigeonpier.membership.reporter import Reporter
+from wigeonpier.membership.reporter import HeartbeatSender
 from wigeonpier.policy.attempts import Bounds
 from wigeonpier.policy.copies import Disk
 from wigeonpier.process import (
@@ -69,7 +69,7 @@
     :param gate: admission control for the upstream.
     :param watch: monitors the health of the upstream.
     :param worker: owns chunks and runs their items.
-    :param reporter: sends heartbeats to entry processes.
+    :param heartbeat_sender: sends heartbeats to entry processes.
     :param server: server for requests of peers.
     """
 
@@ -77,7 +77,7 @@
     gate: Gate
     watch: UpstreamWatch
     worker: Worker
-    reporter: Reporter
+    heartbeat_sender: HeartbeatSender
     server: Server
 
     def start(self) -> str:
@@ -88,11 +88,11 @@
         self.parts.address = self.server.address
         self.parts.holder.listen(self._apply_deployment)
         self.watch.start()
-        self.watch.on_change = self.reporter.hurry
-        self.worker.on_queue_low = self.reporter.hurry
+        self.watch.on_change = self.heartbeat_sender.send_soon
+        self.worker.on_queue_low = self.heartbeat_sender.send_soon
         self.worker.start()
-        self.reporter.on_reply = self._handle_reply
-        self.reporter.start()
+        self.heartbeat_sender.on_reply = self._handle_reply
+        self.heartbeat_sender.start()
         self.server.start()
         return self.server.address
 
@@ -105,7 +105,7 @@
         deadline = time.monotonic() + seconds
         self.parts.is_leaving = True
         self.gate.is_open = False
-        self.reporter.beat()
+        self.heartbeat_sender.send_heartbeats()
         unreleased = self.worker.leave(seconds)
         in_flight = self.server.drain(max(0, deadline - time.monotonic()))
         return in_flight + unreleased
@@ -152,7 +152,7 @@
         settings.upstream,
         lambda: _find_service_kind(parts),
     )
-    reporter = Reporter(
+    heartbeat_sender = HeartbeatSender(
         parts.caller,
         parts.holder,
         settings.entries,
@@ -170,7 +170,7 @@
             settings.service,
         ),
         watch,
-        OwnedChunks(_make_chunk_context(parts, reporter)),
+        OwnedChunks(_make_chunk_context(parts, heartbeat_sender)),
         parts.metrics,
     )
     path = OnlinePath(
@@ -184,7 +184,7 @@
             settings.upstream,
             parts.suspicions,
             CrashDetector(ConnectionPool()),
-            reporter.hurry,
+            heartbeat_sender.send_soon,
         ),
     )
     return LocalApp(
@@ -192,7 +192,7 @@
         gate,
         watch,
         worker,
-        reporter,
+        heartbeat_sender,
         _build_server(parts, path),
     )
 
@@ -227,7 +227,9 @@
     return Server(host, port, chain_filters(filters, dispatch_to(routes)))
 
 
-def _make_chunk_context(parts: Parts, reporter: Reporter) -> Workshop:
+def _make_chunk_context(
+    parts: Parts, heartbeat_sender: HeartbeatSender
+) -> Workshop:
     def list_disks() -> list[Disk]:
         return [
             Disk(
@@ -236,17 +238,17 @@
                 report.data_centre,
                 report.free_bytes,
             )
-            for report in reporter.neighbours.disks.values()
+            for report in heartbeat_sender.neighbours.disks.values()
         ]
 
     return Workshop(
         platform=parts.platform,
         disks=make_disk_client(
             parts.caller,
-            lambda: reporter.neighbours.disks,
+            lambda: heartbeat_sender.neighbours.disks,
         ),
         list_disks=list_disks,
-        is_gone=lambda copy: copy in reporter.neighbours.gone,
+        is_gone=lambda copy: copy in heartbeat_sender.neighbours.gone,
         owner=parts.settings.name,
         copies=1,
         least_copies=1,
--- a/src/wigeonpier/membership/reporter.py
+++ b/src/wigeonpier/membership/reporter.py
@@ -48,7 +48,7 @@
     gone: frozenset[str] = frozenset()
 
 
-class Reporter:
+class HeartbeatSender:
     """Sends heartbeats to a few entries once a second, or sooner on demand."""
 
     def __init__(
@@ -64,7 +64,7 @@
         self.neighbours = Neighbours(seeds)
         self.on_reply: Callable[[HeartbeatReply], None] = _ignore_reply
         # Whether a heartbeat has been sent to the chosen entries once.
-        self.has_beaten = False
+        self.has_tried_all = False
         self._caller = caller
         self._holder = holder
         self._seeds = seeds
@@ -77,21 +77,21 @@
         """Start to send heartbeats."""
         spawn_loop('heartbeat', self._run)
 
-    def learn_entries(self, entries: list[str]) -> None:
+    def add_entries(self, entries: list[str]) -> None:
         """Add entries that were learnt of other than by heartbeats.
 
         :param entries: ``host:port`` of live entries.
         """
         known = set(self.neighbours.entries)
         if set(entries) - known:
-            self.hurry()
+            self.send_soon()
         self.neighbours.entries = tuple(sorted(known | set(entries)))
 
-    def hurry(self) -> None:
+    def send_soon(self) -> None:
         """Send the next heartbeat now instead of at the end of the period."""
         self._send_now.set()
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send one heartbeat to each chosen entry and handle the replies."""
         heartbeat = self._describe()
         # Work is requested from only one entry, so that offers do not add up.
@@ -111,12 +111,12 @@
             if worker.value is not None
         }
         self._apply_replies(replies)
-        self.has_beaten = True
+        self.has_tried_all = True
         for reply in replies.values():
             self.on_reply(reply)
 
     def _run(self) -> None:
-        self.beat()
+        self.send_heartbeats()
         gevent.sleep(MIN_GAP_SECONDS)
         self._send_now.wait(PERIOD_SECONDS - MIN_GAP_SECONDS)
         self._send_now.clear()
@@ -165,7 +165,7 @@
             if reply.version > self._holder.version:
                 self._fetch_configuration(target)
         if entries - set(self.neighbours.entries):
-            self.hurry()
+            self.send_soon()
         self.neighbours.entries = tuple(sorted(entries))
 
     def _fetch_configuration(self, target: str) -> None:
