--- a/src/wigeonpier/entry/limitcalls.py
+++ b/src/wigeonpier/entry/limitcalls.py
@@ -46,9 +46,7 @@
 
     def count_entries() -> int:
         known = directory.list_entries()
-        return len(
-            {*known, *heartbeat_sender.neighbours.entries, parts.address}
-        )
+        return len({*known, *heartbeat_sender.peers.entries, parts.address})
 
     def call_owner(owner: str, call: LimitCall) -> LimitAnswer | None:
         called = parts.caller.call(
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -238,17 +238,17 @@
                 report.data_centre,
                 report.free_bytes,
             )
-            for report in heartbeat_sender.neighbours.disks.values()
+            for report in heartbeat_sender.peers.disks.values()
         ]
 
     return Workshop(
         platform=parts.platform,
         disks=make_disk_client(
             parts.caller,
-            lambda: heartbeat_sender.neighbours.disks,
+            lambda: heartbeat_sender.peers.disks,
         ),
         list_disks=list_disks,
-        is_gone=lambda copy: copy in heartbeat_sender.neighbours.gone,
+        is_gone=lambda copy: copy in heartbeat_sender.peers.gone,
         owner=parts.settings.name,
         copies=1,
         least_copies=1,
--- a/src/wigeonpier/membership/reporter.py
+++ b/src/wigeonpier/membership/reporter.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Neighbours:
+class Peers:
     """Fleet state that entries reported to this process.
 
     :param entries: addresses of live entries.
@@ -61,7 +61,7 @@
         list_vms: Callable[[], Result[tuple[Vm, ...], Failure]],
     ) -> None:
         """Send to at most ``fan_out`` entries, chosen by this VM's name."""
-        self.neighbours = Neighbours(seeds)
+        self.peers = Peers(seeds)
         self.on_reply: Callable[[HeartbeatReply], None] = _ignore_reply
         # Whether a heartbeat has been sent to the chosen entries once.
         self.has_tried_all = False
@@ -82,10 +82,10 @@
 
         :param entries: ``host:port`` of live entries.
         """
-        known = set(self.neighbours.entries)
+        known = set(self.peers.entries)
         if set(entries) - known:
             self.send_soon()
-        self.neighbours.entries = tuple(sorted(known | set(entries)))
+        self.peers.entries = tuple(sorted(known | set(entries)))
 
     def send_soon(self) -> None:
         """Send the next heartbeat now instead of at the end of the period."""
@@ -122,7 +122,7 @@
         self._send_now.clear()
 
     def _choose_targets(self, heartbeat: Heartbeat) -> list[str]:
-        known = set(self.neighbours.entries or self._list_candidates())
+        known = set(self.peers.entries or self._list_candidates())
         known.discard(heartbeat.address)
         return choose_subset(sorted(known), heartbeat.name, self._fan_out)
 
@@ -158,15 +158,15 @@
         for target, reply in replies.items():
             entries.update(reply.entries)
             if reply.disks:
-                self.neighbours.disks = {
+                self.peers.disks = {
                     disk.incarnation: disk for disk in reply.disks
                 }
-            self.neighbours.gone |= frozenset(reply.gone)
+            self.peers.gone |= frozenset(reply.gone)
             if reply.version > self._holder.version:
                 self._fetch_configuration(target)
-        if entries - set(self.neighbours.entries):
+        if entries - set(self.peers.entries):
             self.send_soon()
-        self.neighbours.entries = tuple(sorted(entries))
+        self.peers.entries = tuple(sorted(entries))
 
     def _fetch_configuration(self, target: str) -> None:
         called = self._caller.call(target, 'GET', CONFIGURATION_PATH)
