--- a/src/wigeonpier/membership/directory.py
+++ b/src/wigeonpier/membership/directory.py
@@ -72,7 +72,7 @@
     :param upstreams: upstreams by name.
     :param leaving_vms: VMs that are leaving, by the VM list or an operator.
     :param listed_vms: VMs on the VM list.
-    :param homes: data folders that were ever reported, by incarnation.
+    :param folder_sightings: last reports of data folders, by incarnation.
     :param reported_gone: folders that other entries reported as gone.
     """
 
@@ -82,7 +82,7 @@
     upstreams: dict[str, UpstreamState] = field(default_factory=dict)
     leaving_vms: set[str] = field(default_factory=set)
     listed_vms: dict[str, Vm] = field(default_factory=dict)
-    homes: dict[str, DiskSighting] = field(default_factory=dict)
+    folder_sightings: dict[str, DiskSighting] = field(default_factory=dict)
     reported_gone: set[str] = field(default_factory=set)
     _summary: FleetSummary | None = None
 
@@ -96,7 +96,9 @@
         self.members[heartbeat.name] = Member(heartbeat, now)
         if heartbeat.disk is not None:
             incarnation = heartbeat.disk.incarnation
-            self.homes[incarnation] = DiskSighting(heartbeat.name, now)
+            self.folder_sightings[incarnation] = DiskSighting(
+                heartbeat.name, now
+            )
         if heartbeat.upstream is not None:
             self._record_upstream(heartbeat, now, is_new)
 
@@ -179,8 +181,8 @@
         """
         observed_gone = {
             incarnation
-            for incarnation, home in self.homes.items()
-            if self._is_gone(incarnation, home)
+            for incarnation, sighting in self.folder_sightings.items()
+            if self._is_gone(incarnation, sighting)
         }
         live = {disk.incarnation for disk in self.report_disks()}
         return tuple(sorted((observed_gone | self.reported_gone) - live))
@@ -263,13 +265,13 @@
             and now - member.seen <= max_silence
         )
 
-    def _is_gone(self, incarnation: str, home: DiskSighting) -> bool:
-        member = self.members.get(home.vm)
+    def _is_gone(self, incarnation: str, sighting: DiskSighting) -> bool:
+        member = self.members.get(sighting.vm)
         current = member.heartbeat.disk if member else None
         if current is not None and current.incarnation != incarnation:
             return True
-        is_silent = self.clock() - home.seen > GONE_SECONDS
-        return is_silent and home.vm not in self.listed_vms
+        is_silent = self.clock() - sighting.seen > GONE_SECONDS
+        return is_silent and sighting.vm not in self.listed_vms
 
     def _is_known_start(self, heartbeat: Heartbeat) -> bool:
         known = self.members.get(heartbeat.name)
