--- a/src/wigeonpier/disk/folder.py
+++ b/src/wigeonpier/disk/folder.py
@@ -17,7 +17,7 @@
     append_lines,
     call_in_thread,
     read_if_exists,
-    write_whole,
+    replace_file,
 )
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -83,7 +83,7 @@
         :param content: its bytes.
         """
         folder = self._root / PAGES / file_id
-        call_in_thread(write_whole, folder / str(index), content)
+        call_in_thread(replace_file, folder / str(index), content)
 
     def read_page(self, file_id: str, index: int) -> bytes | None:
         """Read one page.
@@ -152,7 +152,7 @@
         with self._locks[chunk]:
             if fence > self._get_fence(chunk):
                 call_in_thread(
-                    write_whole,
+                    replace_file,
                     folder / FENCE_FILE,
                     str(fence).encode(),
                 )
@@ -220,7 +220,7 @@
         stored = read_if_exists(path)
         if stored is None:
             stored = secrets.token_hex(8).encode()
-            write_whole(path, stored)
+            replace_file(path, stored)
         return stored.decode()
 
 
--- a/src/wigeonpier/disk/storage.py
+++ b/src/wigeonpier/disk/storage.py
@@ -61,7 +61,7 @@
         _sync_folder(path.parent)
 
 
-def write_whole(path: Path, content: bytes) -> None:
+def replace_file(path: Path, content: bytes) -> None:
     """Replace a file atomically and force it to disk.
 
     :param path: the file; created with its folders if it is missing.
--- a/src/wigeonpier/hosted/intake.py
+++ b/src/wigeonpier/hosted/intake.py
@@ -18,7 +18,7 @@
 from gevent.event import Event as Signal
 from result import Err, Ok
 
-from wigeonpier.disk.storage import call_in_thread, write_whole
+from wigeonpier.disk.storage import call_in_thread, replace_file
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.loops import spawn_loop
 from wigeonpier.models import HeldJob
@@ -83,7 +83,7 @@
         request.body_limit = MAX_JOB_BYTES
         raw = request.read_body()
         try:
-            call_in_thread(write_whole, self._root / name, raw)
+            call_in_thread(replace_file, self._root / name, raw)
         except OSError as error:
             self._raise_write_error(name, error)
         self._job_names.add(name)
--- a/src/wigeonpier/hosted/quarantine/replica.py
+++ b/src/wigeonpier/hosted/quarantine/replica.py
@@ -19,7 +19,7 @@
 from gevent.event import Event as Signal
 from result import Err
 
-from wigeonpier.disk.storage import call_in_thread, write_whole
+from wigeonpier.disk.storage import call_in_thread, replace_file
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.hosted.news import QuarantineEntry
 from wigeonpier.loops import spawn_loop
@@ -102,7 +102,7 @@
         ):
             self._delete(self._choose_oldest())
         try:
-            call_in_thread(write_whole, self._root / fingerprint, raw)
+            call_in_thread(replace_file, self._root / fingerprint, raw)
         except OSError as error:
             raise Refusal(ErrorKind.storage_down, str(error)) from error
         self._entries[fingerprint] = entry
--- a/tests/hosted/test_full_disk.py
+++ b/tests/hosted/test_full_disk.py
@@ -24,7 +24,7 @@
 ) -> None:
     """Make every write to the given disks fail."""
     full = {site.disks[number]._intake._root for number in numbers}
-    write = disk_storage.write_whole
+    write = disk_storage.replace_file
 
     def write_unless_full(path: Path, content: bytes) -> None:
         if path.parent in full:
@@ -32,7 +32,7 @@
         write(path, content)
 
     monkeypatch.setattr(
-        'wigeonpier.hosted.intake.write_whole', write_unless_full
+        'wigeonpier.hosted.intake.replace_file', write_unless_full
     )
 
 
@@ -71,13 +71,13 @@
     """The disk may have stored the job, so the answer must not deny it."""
     site.start()
     _make_disks_full(monkeypatch, site, 0, 1, 2)
-    write_when_full = disk_intake.write_whole
+    write_when_full = disk_intake.replace_file
 
     def write_late(path: Path, content: bytes) -> None:
         time.sleep(2 * DISK_TIMEOUT_SECONDS)
         write_when_full(path, content)
 
-    monkeypatch.setattr('wigeonpier.hosted.intake.write_whole', write_late)
+    monkeypatch.setattr('wigeonpier.hosted.intake.replace_file', write_late)
     site.store.faults.is_down = True
     reply = site.hand_in('j', 2)
     assert reply.status == 502
@@ -102,5 +102,5 @@
 
     monkeypatch.setattr(disk_storage, '_force', write_when_full)
     with pytest.raises(OSError, match='No space'):
-        disk_storage.write_whole(tmp_path / 'j', b'text')
+        disk_storage.replace_file(tmp_path / 'j', b'text')
     assert not list(tmp_path.iterdir())
