--- a/src/wigeonpier/batch/records.py
+++ b/src/wigeonpier/batch/records.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from wigeonpier.disk.lines import frame_line, open_line
+from wigeonpier.disk.lines import frame_line, parse_line
 from wigeonpier.records import Record
 
 if TYPE_CHECKING:
@@ -32,4 +32,4 @@
     :yields: the records in order.
     """
     for line in lines.splitlines():
-        yield _DECODER.decode(open_line(line))
+        yield _DECODER.decode(parse_line(line))
--- a/src/wigeonpier/disk/lines.py
+++ b/src/wigeonpier/disk/lines.py
@@ -18,7 +18,7 @@
     return b'%08x %b\n' % (crc32c(body), body)
 
 
-def open_line(line: bytes) -> bytes:
+def parse_line(line: bytes) -> bytes:
     """Extract the body of a valid line.
 
     :param line: the line, without its line feed.
