--- a/src/wigeonpier/disk/client.py
+++ b/src/wigeonpier/disk/client.py
@@ -262,7 +262,7 @@
     return None
 
 
-def write_everywhere(
+def write_all_copies(
     copies: list[str],
     write: Callable[[str], Result[int, DiskFailure]],
 ) -> list[str]:
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -27,7 +27,7 @@
 )
 from wigeonpier.batch.results import name_kept_results
 from wigeonpier.batch.takeover import claim_chunk, open_chunk
-from wigeonpier.disk.client import write_everywhere
+from wigeonpier.disk.client import write_all_copies
 from wigeonpier.invariants import Promise, check_promise
 from wigeonpier.loops import spawn_loop
 from wigeonpier.platform import keys
@@ -199,7 +199,7 @@
         Only the record that the key-value service accepted is copied, so that
         the two never differ.
         """
-        write_everywhere(
+        write_all_copies(
             list(job.copies),
             lambda copy: self.disks.write_page(
                 copy,
--- a/src/wigeonpier/entry/uploads.py
+++ b/src/wigeonpier/entry/uploads.py
@@ -25,7 +25,7 @@
     Line,
     LineHead,
 )
-from wigeonpier.disk.client import DiskClient, write_everywhere
+from wigeonpier.disk.client import DiskClient, write_all_copies
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.policy.copies import Disk, choose_copies
 from wigeonpier.policy.paging import MOST_PAGE_BYTES, choose_page_size
@@ -207,7 +207,7 @@
     def _write_page(self) -> None:
         content = LINE_FEED.join((*self.lines, b''))
         index = len(self.pages)
-        self.copies = write_everywhere(
+        self.copies = write_all_copies(
             self.copies,
             lambda copy: self.disks.write_page(
                 copy,
