--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -412,7 +412,11 @@
     disks = context.list_disks()
     # A folder that has just failed may work again: if there are no others,
     # a new segment on the same folders is as safe.
-    for avoided in (lost | context.disks.list_failing(), lost, frozenset()):
+    for avoided in (
+        lost | context.disks.list_failed_folders(),
+        lost,
+        frozenset(),
+    ):
         chosen = choose_copies(disks, key, context.copies, avoided)
         if len(chosen) >= context.least_copies:
             return tuple(disk.incarnation for disk in chosen)
--- a/src/wigeonpier/disk/client.py
+++ b/src/wigeonpier/disk/client.py
@@ -56,7 +56,7 @@
         self._find_address = find_address
         self._failed_at: dict[str, float] = {}
 
-    def list_failing(self) -> frozenset[str]:
+    def list_failed_folders(self) -> frozenset[str]:
         """List folders that recently failed a call.
 
         :returns: incarnations, to be avoided where there are others.
--- a/tests/batch/test_takeover_machine.py
+++ b/tests/batch/test_takeover_machine.py
@@ -103,7 +103,7 @@
             for incarnation, folder in self.folders.items()
         ]
 
-    def list_failing(self) -> frozenset[str]:
+    def list_failed_folders(self) -> frozenset[str]:
         return frozenset()
 
     def append(self, incarnation, name, offset, lines):
