--- a/src/wigeonpier/disk/folder.py
+++ b/src/wigeonpier/disk/folder.py
@@ -224,7 +224,7 @@
         return stored.decode()
 
 
-def measure_time() -> float:
+def read_monotonic_clock() -> float:
     """Read the monotonic clock, seconds."""
     return time.monotonic()
 
--- a/src/wigeonpier/process.py
+++ b/src/wigeonpier/process.py
@@ -16,7 +16,7 @@
 from gevent.event import Event as Signal
 
 from wigeonpier.disk.client import DiskClient
-from wigeonpier.disk.folder import DataFolder, measure_time
+from wigeonpier.disk.folder import DataFolder, read_monotonic_clock
 from wigeonpier.disk.routes import make_disk_routes
 from wigeonpier.invariants import Promise, check_promise, violations
 from wigeonpier.membership.messages import DiskReport
@@ -119,7 +119,7 @@
     """
     folder = None
     if settings.data_folder:
-        folder = DataFolder(settings.data_folder, measure_time)
+        folder = DataFolder(settings.data_folder, read_monotonic_clock)
     return Parts(
         settings=settings,
         boot=secrets.token_hex(BOOT_ID_BYTES),
