--- a/src/wigeonpier/disk/storage.py
+++ b/src/wigeonpier/disk/storage.py
@@ -51,7 +51,7 @@
     with path.open('ab', buffering=0) as stream:
         size = stream.tell()
         try:
-            _force(stream.fileno(), lines)
+            _write_and_sync(stream.fileno(), lines)
         except OSError:
             # Removes the part that was written before the disk was full.
             with suppress(OSError):
@@ -74,12 +74,12 @@
         # Removes the part that was written before the disk was full.
         stack.callback(temporary.unlink, missing_ok=True)
         with temporary.open('xb', buffering=0) as stream:
-            _force(stream.fileno(), content)
+            _write_and_sync(stream.fileno(), content)
         temporary.replace(path)
     _sync_folder(path.parent)
 
 
-def _force(descriptor: int, content: bytes) -> None:
+def _write_and_sync(descriptor: int, content: bytes) -> None:
     remaining = memoryview(content)
     while remaining:
         written = os.write(descriptor, remaining)
--- a/tests/hosted/test_full_disk.py
+++ b/tests/hosted/test_full_disk.py
@@ -100,7 +100,7 @@
     def write_when_full(_descriptor: int, _content: bytes) -> None:
         raise OSError(errno.ENOSPC, 'No space left on device')
 
-    monkeypatch.setattr(disk_storage, '_force', write_when_full)
+    monkeypatch.setattr(disk_storage, '_write_and_sync', write_when_full)
     with pytest.raises(OSError, match='No space'):
         disk_storage.replace_file(tmp_path / 'j', b'text')
     assert not list(tmp_path.iterdir())
