--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -15,7 +15,11 @@
 from wigeonpier.invariants import Promise, check_promise
 from wigeonpier.policy.fingerprint import digest_request
 from wigeonpier.policy.retry import Fate, RetryBudget, Try, may_retry
-from wigeonpier.policy.route import Ask, choose_upstream, record_outcome
+from wigeonpier.policy.route import (
+    RoutingCriteria,
+    choose_upstream,
+    record_outcome,
+)
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.web import headers
@@ -66,7 +70,7 @@
     request: Request
     path: str
     body: bytes
-    criteria: Ask
+    criteria: RoutingCriteria
     is_idempotent: bool
     deadline: float
     arrived: float = field(default_factory=time.monotonic)
--- a/src/wigeonpier/entry/online.py
+++ b/src/wigeonpier/entry/online.py
@@ -20,7 +20,7 @@
 )
 from wigeonpier.entry.uploads import find_service
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.policy.route import Ask
+from wigeonpier.policy.route import RoutingCriteria
 from wigeonpier.web import headers
 from wigeonpier.web.messages import answer_json, decode_body
 
@@ -137,14 +137,14 @@
         deployment: Deployment,
         service: str,
         head: CompletionHead,
-    ) -> Ask:
+    ) -> RoutingCriteria:
         start = (bytes(head.messages) or bytes(head.prompt))[
             :AFFINITY_PREFIX_BYTES
         ]
         affinity = ''
         if len(start) == AFFINITY_PREFIX_BYTES:
             affinity = xxhash.xxh3_64_hexdigest(start)
-        return Ask(
+        return RoutingCriteria(
             service=service,
             model=head.model,
             affinity=affinity,
@@ -157,7 +157,7 @@
         request: Request,
         path: str,
         body: bytes,
-        criteria: Ask,
+        criteria: RoutingCriteria,
     ) -> Response:
         deployment = self.holder.deployment
         service = deployment.services[criteria.service]
--- a/src/wigeonpier/hosted/chooser.py
+++ b/src/wigeonpier/hosted/chooser.py
@@ -6,7 +6,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from wigeonpier.policy.route import Ask, choose_upstream, find_usable
+from wigeonpier.policy.route import (
+    RoutingCriteria,
+    choose_upstream,
+    find_usable,
+)
 
 if TYPE_CHECKING:
     import random
@@ -65,9 +69,11 @@
             time.monotonic(),
         )
 
-    def _make_criteria(self, question: Question, excluded: Set[str]) -> Ask:
+    def _make_criteria(
+        self, question: Question, excluded: Set[str]
+    ) -> RoutingCriteria:
         shared_parts = question.head.prompt_parts[:-1]
-        return Ask(
+        return RoutingCriteria(
             service=question.service,
             model='',
             affinity=shared_parts[-1] if shared_parts else '',
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RoutingCriteria:
     """What a request requires of an upstream.
 
     :param service: service to reach.
@@ -116,7 +116,7 @@
 
 def choose_upstream(
     upstreams: list[UpstreamState],
-    ask: Ask,
+    criteria: RoutingCriteria,
     now: float,
     rng: random.Random,
 ) -> UpstreamState | None:
@@ -127,26 +127,26 @@
     first are preferred as long as they are not much busier.
 
     :param upstreams: all upstreams that the entry knows.
-    :param ask: requirements of the request.
+    :param criteria: requirements of the request.
     :param now: seconds.
     :param rng: source of randomness.
     :returns: the upstream, ``None`` where none may be used.
     """
-    usable = find_usable(upstreams, ask, now)
+    usable = find_usable(upstreams, criteria, now)
     if not usable:
         return None
     best = min(
         rng.sample(usable, min(len(usable), 2)),
-        key=lambda state: estimate_cost(state, ask, now),
+        key=lambda state: estimate_cost(state, criteria, now),
     )
-    if not ask.affinity:
+    if not criteria.affinity:
         return best
-    return _prefer_cached(usable, best, ask, now)
+    return _prefer_cached(usable, best, criteria, now)
 
 
 def find_usable(
     upstreams: list[UpstreamState],
-    ask: Ask,
+    criteria: RoutingCriteria,
     now: float,
 ) -> list[UpstreamState]:
     """Find the upstreams that may get a request.
@@ -155,20 +155,22 @@
     unhealthy report.  If more were, those whose ejection ends soonest are used.
 
     :param upstreams: all upstreams that the entry knows.
-    :param ask: requirements of the request.
+    :param criteria: requirements of the request.
     :param now: seconds.
     :returns: candidates, none of which is leaving.
     """
     serving = [
         state
         for state in upstreams
-        if state.service == ask.service
-        and (not ask.model or ask.model in state.models)
+        if state.service == criteria.service
+        and (not criteria.model or criteria.model in state.models)
         and not state.is_leaving
         # Crashed upstreams do not count towards the share that may be ejected.
         and not is_down(state, now)
     ]
-    remaining = [state for state in serving if state.name not in ask.excluded]
+    remaining = [
+        state for state in serving if state.name not in criteria.excluded
+    ]
     healthy = [state for state in remaining if _is_healthy(state, now)]
     min_usable = len(serving) - int(len(serving) * MAX_EJECTED_SHARE)
     if len(healthy) >= min(min_usable, len(remaining)):
@@ -176,7 +178,9 @@
     return sorted(remaining, key=lambda state: state.ejected_until)[:min_usable]
 
 
-def estimate_cost(state: UpstreamState, ask: Ask, now: float) -> float:
+def estimate_cost(
+    state: UpstreamState, criteria: RoutingCriteria, now: float
+) -> float:
     """Estimate how busy an upstream is, as a share of its slots.
 
     A fresh load from the feed is used as it is, plus the requests sent since.
@@ -184,7 +188,7 @@
     requests of other entries, with a weight that falls as the report ages.
 
     :param state: the upstream.
-    :param ask: requirements of the request.
+    :param criteria: requirements of the request.
     :param now: seconds.
     :returns: load, with penalties for distance and for a recent ejection.
     """
@@ -192,9 +196,9 @@
     since_return = now - state.ejected_until
     if state.ejections and since_return < RAMP_SECONDS:
         load /= max(MIN_RAMP_SHARE, since_return / RAMP_SECONDS)
-    if state.region != ask.region:
+    if state.region != criteria.region:
         return load + REGION_PENALTY
-    if state.data_centre != ask.data_centre:
+    if state.data_centre != criteria.data_centre:
         return load + DATA_CENTRE_PENALTY
     return load
 
@@ -305,12 +309,14 @@
 def _prefer_cached(
     usable: list[UpstreamState],
     best: UpstreamState,
-    ask: Ask,
+    criteria: RoutingCriteria,
     now: float,
 ) -> UpstreamState:
     by_name = {state.name: state for state in usable}
-    bound = estimate_cost(best, ask, now) + AFFINITY_SLACK
-    for name in rank_by_key(list(by_name), ask.affinity)[:AFFINITY_CANDIDATES]:
-        if estimate_cost(by_name[name], ask, now) <= bound:
+    bound = estimate_cost(best, criteria, now) + AFFINITY_SLACK
+    for name in rank_by_key(list(by_name), criteria.affinity)[
+        :AFFINITY_CANDIDATES
+    ]:
+        if estimate_cost(by_name[name], criteria, now) <= bound:
             return by_name[name]
     return best
--- a/tests/entry/test_forward.py
+++ b/tests/entry/test_forward.py
@@ -18,7 +18,7 @@
 from wigeonpier.membership.directory import Directory, Member
 from wigeonpier.membership.messages import Heartbeat, Role
 from wigeonpier.membership.suspicions import Suspicions
-from wigeonpier.policy.route import Ask
+from wigeonpier.policy.route import RoutingCriteria
 from wigeonpier.telemetry.metrics import Metrics
 from wigeonpier.web.client import CallFailure
 from wigeonpier.web.messages import Request
@@ -74,7 +74,7 @@
         request,
         '/x',
         b'',
-        Ask('s', 'm', '', 'a', 'r'),
+        RoutingCriteria('s', 'm', '', 'a', 'r'),
         is_idempotent,
         time.monotonic() + 60,
     )
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -23,7 +23,11 @@
     may_reserve,
     plan_round,
 )
-from wigeonpier.policy.route import Ask, choose_upstream, record_load
+from wigeonpier.policy.route import (
+    RoutingCriteria,
+    choose_upstream,
+    record_load,
+)
 from wigeonpier.policy.waiting import (
     LOOK_SECONDS,
     PATIENT_SHARE,
@@ -39,7 +43,7 @@
 
     from wigeonpier.policy.route import UpstreamState
 
-ASK = Ask('s', 'm', '', 'a', 'r')
+CRITERIA = RoutingCriteria('s', 'm', '', 'a', 'r')
 ENTRIES = 25
 UPSTREAMS = 28
 SLOTS = 7
@@ -124,7 +128,7 @@
         self._schedule(self.now + pause, self._arrive)
         entry = self.rng.randrange(self.entries)
         states = self.states[entry]
-        chosen = choose_upstream(states, ASK, self.now, self.rng)
+        chosen = choose_upstream(states, CRITERIA, self.now, self.rng)
         assert chosen is not None
         request = ModelRequest(entry, self.now)
         if self.can_reserve:
@@ -138,7 +142,7 @@
         waited = (self.now - request.arrived_at) / OBJECTIVE_SECONDS
         refused: set[str] = set()
         while len(refused) < min(MOST_ASKS, len(states)):
-            ask = replace(ASK, excluded=frozenset(refused))
+            ask = replace(CRITERIA, excluded=frozenset(refused))
             drawn = choose_upstream(states, ask, self.now, self.rng)
             assert drawn is not None
             if self._is_granted(states.index(drawn), drawn, waited):
@@ -183,7 +187,7 @@
         queue = self.queues[states.index(current)]
         if request not in queue:
             return
-        ask = replace(ASK, excluded=frozenset((current.name,)))
+        ask = replace(CRITERIA, excluded=frozenset((current.name,)))
         other = choose_upstream(states, ask, self.now, self.rng)
         assert other is not None
         waited = (self.now - request.arrived_at) / OBJECTIVE_SECONDS
@@ -202,7 +206,7 @@
 
     def _try_resend(self, request: ModelRequest, deadline: float) -> None:
         states = self.states[request.entry]
-        other = choose_upstream(states, ASK, self.now, self.rng)
+        other = choose_upstream(states, CRITERIA, self.now, self.rng)
         assert other is not None
         if may_return(other, self.now) or self.now > deadline:
             self._send_again(request, other)
--- a/tests/policy/test_route.py
+++ b/tests/policy/test_route.py
@@ -12,7 +12,7 @@
 from wigeonpier.policy.route import (
     CRASH_HOLD_SECONDS,
     LATE_REPORT_SECONDS,
-    Ask,
+    RoutingCriteria,
     choose_upstream,
     estimate_cost,
     find_usable,
@@ -21,7 +21,7 @@
     record_outcome,
 )
 
-ASK = Ask('s', 'm', '', 'a', 'r')
+CRITERIA = RoutingCriteria('s', 'm', '', 'a', 'r')
 STATES = st.lists(
     st.builds(
         lambda is_leaving, ejected_until, in_flight, centre: {
@@ -49,7 +49,7 @@
 @given(STATES, st.floats(0, 30), st.integers(), st.sampled_from(('', 'abc')))
 def test_leaving_upstreams_get_no_requests(parts, now, seed, affinity) -> None:
     states = _build(parts)
-    ask = Ask('s', 'm', affinity, 'a', 'r')
+    ask = RoutingCriteria('s', 'm', affinity, 'a', 'r')
     chosen = choose_upstream(states, ask, now, random.Random(seed))
     staying = [state for state in states if not state.is_leaving]
     assert (chosen is None) == (not staying)
@@ -60,7 +60,7 @@
 def test_at_most_half_of_the_upstreams_are_ejected(parts, now) -> None:
     states = _build(parts)
     staying = [state for state in states if not state.is_leaving]
-    usable = find_usable(states, ASK, now)
+    usable = find_usable(states, CRITERIA, now)
     assert len(usable) >= len(staying) - len(staying) // 2
 
 
@@ -82,20 +82,21 @@
         record_outcome(state, went_well=False, now=0)
     ejected_until = state.ejected_until
     costs = [
-        estimate_cost(state, ASK, ejected_until + wait) for wait in (0.1, 2, 6)
+        estimate_cost(state, CRITERIA, ejected_until + wait)
+        for wait in (0.1, 2, 6)
     ]
     assert costs[0] > costs[1] > costs[2]
 
 
 def test_own_count_outweighs_an_old_report() -> None:
     state = build_upstream('vm-1', in_flight=2, reported=20, reported_at=0.0)
-    fresh = estimate_cost(state, ASK, now=0.0)
-    old = estimate_cost(state, ASK, now=30.0)
+    fresh = estimate_cost(state, CRITERIA, now=0.0)
+    old = estimate_cost(state, CRITERIA, now=30.0)
     assert fresh > old == (2 + 1) / 8
 
 
 def test_load_overrides_affinity() -> None:
-    ask = Ask('s', 'm', 'prefix', 'a', 'r')
+    ask = RoutingCriteria('s', 'm', 'prefix', 'a', 'r')
     states = [build_upstream(f'vm-{number}') for number in range(4)]
     rng = random.Random(1)
     preferred = choose_upstream(states, ask, 0, rng)
@@ -108,9 +109,9 @@
     near = build_upstream('near')
     far = build_upstream('far', data_centre='b')
     rng = random.Random(1)
-    assert choose_upstream([near, far], ASK, 0, rng) is near
+    assert choose_upstream([near, far], CRITERIA, 0, rng) is near
     near.in_flight = 5
-    assert choose_upstream([near, far], ASK, 0, rng) is far
+    assert choose_upstream([near, far], CRITERIA, 0, rng) is far
 
 
 def test_crashed_upstreams_get_no_requests_even_if_most_crashed() -> None:
@@ -125,7 +126,7 @@
     for state in upstreams[:4]:
         record_crash(state, 10.0)
     for now in (10.0, 10.0 + CRASH_HOLD_SECONDS - 0.1):
-        usable = find_usable(upstreams, ASK, now)
+        usable = find_usable(upstreams, CRITERIA, now)
         assert {state.name for state in usable} == {'vm-4', 'vm-5'}
 
 
@@ -135,6 +136,6 @@
     record_crash(state, 10.0)
     load = QuestionLoad(0, takes_work=True)
     record_load(state, load, 10.05)
-    assert not find_usable([state], ASK, 10.1)
+    assert not find_usable([state], CRITERIA, 10.1)
     record_load(state, load, 10.0 + LATE_REPORT_SECONDS)
-    assert find_usable([state], ASK, 10.6)
+    assert find_usable([state], CRITERIA, 10.6)
