--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -21,7 +21,7 @@
     RunMode,
     Suspect,
     choose_run_mode,
-    is_proved,
+    is_confirmed,
 )
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -269,7 +269,7 @@
                 suspect,
                 now,
             )
-            if is_proved(suspect, others):
+            if is_confirmed(suspect, others):
                 self._confirm_culprit(report.fingerprint)
         return True
 
--- a/src/wigeonpier/policy/suspicion.py
+++ b/src/wigeonpier/policy/suspicion.py
@@ -132,7 +132,7 @@
     return RunMode.apart
 
 
-def is_proved(suspect: Suspect, other_crashes: int) -> bool:
+def is_confirmed(suspect: Suspect, other_crashes: int) -> bool:
     """Check whether a request is the cause of its crashes.
 
     :param suspect: crashes that count against it.
--- a/tests/policy/test_suspicion.py
+++ b/tests/policy/test_suspicion.py
@@ -14,7 +14,7 @@
     RunMode,
     Suspect,
     choose_run_mode,
-    is_proved,
+    is_confirmed,
 )
 from wigeonpier.policy.trial import (
     TRIAL_TIMEOUT_SECONDS,
@@ -33,7 +33,7 @@
     suspect = Suspect()
     for number, was_alone in enumerate(alone):
         suspect.add(Crash(f'i-{number}', version, float(number), was_alone))
-    suspect.is_culprit = is_proved(suspect, 0)
+    suspect.is_culprit = is_confirmed(suspect, 0)
     return suspect
 
 
@@ -70,7 +70,7 @@
     A request that several callers sent with the same content was refused:
     three upstreams crashed ten times in 8 s, seven times under another one.
     """
-    assert is_proved(build_suspect(*alone), 1) is is_culprit
+    assert is_confirmed(build_suspect(*alone), 1) is is_culprit
 
 
 class UnstableUpstreams:
@@ -98,7 +98,7 @@
                 had_output=crashes_at >= seconds_to_output,
             ),
         )
-        suspect.is_culprit = is_proved(suspect, 1)
+        suspect.is_culprit = is_confirmed(suspect, 1)
         return False
 
 
@@ -137,17 +137,17 @@
                 had_output=True,
             ),
         )
-        assert not is_proved(suspect, 0)
+        assert not is_confirmed(suspect, 0)
 
 
 def test_culprit_that_crashes_after_output_is_refused_eventually() -> None:
     suspect = Suspect()
     for number in range(8):
-        assert not is_proved(suspect, 0)
+        assert not is_confirmed(suspect, 0)
         suspect.add(
             Crash(f'i-{number}', 'v1', float(number), True, had_output=True),
         )
-    assert is_proved(suspect, 0)
+    assert is_confirmed(suspect, 0)
 
 
 def test_culprit_is_confirmed_among_unstable_upstreams() -> None:
@@ -158,7 +158,7 @@
         assert not suspect.is_culprit
         was_alone = choose_run_mode(suspect, V1) is RunMode.alone
         suspect.add(Crash(f'i-{number}', 'v1', float(number), was_alone))
-        suspect.is_culprit = is_proved(suspect, 1)
+        suspect.is_culprit = is_confirmed(suspect, 1)
     assert suspect.is_culprit
 
 
@@ -225,7 +225,7 @@
         crashes += 1
         for name in group:
             suspects[name].add(Crash(f'i-{crashes}', 'v1', crashes, is_alone))
-            suspects[name].is_culprit = is_proved(suspects[name], 0)
+            suspects[name].is_culprit = is_confirmed(suspects[name], 0)
         upstreams = [[] for _ in range(UPSTREAMS)]
         for name in group:
             run_mode = choose_run_mode(suspects[name], V1)
