--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -16,7 +16,7 @@
 from wigeonpier.membership.news import CrashReport, SuspicionUpdate
 from wigeonpier.policy.suspicion import (
     RENEW_SECONDS,
-    RESTLESS_SECONDS,
+    UNSTABLE_SECONDS,
     Crash,
     RunMode,
     Suspect,
@@ -358,7 +358,7 @@
         if not other.is_culprit
     }
     return sum(
-        now - at < RESTLESS_SECONDS
+        now - at < UNSTABLE_SECONDS
         for upstream, at in others.items()
         if upstream not in explained
     )
--- a/src/wigeonpier/policy/suspicion.py
+++ b/src/wigeonpier/policy/suspicion.py
@@ -41,7 +41,7 @@
 WEIGHT_AFTER_OUTPUT = 0.5
 # A service is unstable for this time after an unexplained crash of another
 # upstream.
-RESTLESS_SECONDS = 10.0
+UNSTABLE_SECONDS = 10.0
 UNSTABLE_LONE_CRASHES_TO_QUARANTINE = 2
 UNSTABLE_CRASHES_WITHOUT_LONE = 6
 # Callers retry for hours.  A request that was not seen for this long, or that
