--- a/src/wigeonpier/hosted/suspectpage.py
+++ b/src/wigeonpier/hosted/suspectpage.py
@@ -79,7 +79,7 @@
                 SuspectRow(
                     name,
                     self._suspicions.is_refused(name),
-                    round(now - suspect.kept_at, 1),
+                    round(now - suspect.last_seen_at, 1),
                     tuple(self._suspicions.list_crashes(name)),
                 )
                 for name, suspect in self._suspicions.suspects.items()
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -134,7 +134,7 @@
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
             return SuspicionUpdate()
-        if time.monotonic() - suspect.kept_at < RENEW_SECONDS:
+        if time.monotonic() - suspect.last_seen_at < RENEW_SECONDS:
             return SuspicionUpdate()
         return self.merge(SuspicionUpdate(kept=(fingerprint,)))
 
@@ -207,7 +207,7 @@
             self.suspects,
             key=lambda name: (
                 not self.suspects[name].is_culprit,
-                -self.suspects[name].kept_at,
+                -self.suspects[name].last_seen_at,
             ),
         )
         return SuspicionUpdate(
@@ -338,9 +338,9 @@
 
     def _apply_repeat(self, fingerprint: str, now: float) -> bool:
         suspect = self.suspects.get(fingerprint)
-        if suspect is None or now - suspect.kept_at < RENEW_SECONDS / 2:
+        if suspect is None or now - suspect.last_seen_at < RENEW_SECONDS / 2:
             return False
-        suspect.kept_at = now
+        suspect.last_seen_at = now
         return True
 
 
--- a/src/wigeonpier/policy/suspicion.py
+++ b/src/wigeonpier/policy/suspicion.py
@@ -83,12 +83,12 @@
     """The crashes that count against one request.
 
     :param crashes: upstreams that crashed while it ran there, oldest first.
-    :param kept_at: when it was last reported, seconds of the monotonic clock.
+    :param last_seen_at: when it was last reported, seconds of the monotonic clock.
     :param is_culprit: whether it is known to crash upstreams.
     """
 
     crashes: list[Crash] = field(default_factory=list)
-    kept_at: float = 0
+    last_seen_at: float = 0
     is_culprit: bool = False
 
     def add(self, crash: Crash) -> bool:
@@ -97,7 +97,7 @@
         :param crash: the crash; the same start may be reported twice.
         :returns: whether it adds information.
         """
-        self.kept_at = max(self.kept_at, crash.at)
+        self.last_seen_at = max(self.last_seen_at, crash.at)
         known = [one for one in self.crashes if one.upstream == crash.upstream]
         if known and (known[0].was_alone or not crash.was_alone):
             return False
@@ -111,7 +111,7 @@
         :param now: seconds of the monotonic clock.
         :returns: true where nothing counts against it any more.
         """
-        return not self.crashes or now - self.kept_at > MEMORY_SECONDS
+        return not self.crashes or now - self.last_seen_at > MEMORY_SECONDS
 
 
 def choose_run_mode(suspect: Suspect | None, versions: Set[str]) -> RunMode:
