--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -79,11 +79,11 @@
         if isolation is None:
             return False
         now = time.monotonic()
-        verdict = self.trials.ask(work.fingerprint, isolation, now)
+        verdict = self.trials.check(work.fingerprint, isolation, now)
         if verdict is not Verdict.granted:
             return False
         work.isolation = isolation.value
-        self.trials.enter(work.fingerprint, isolation, now)
+        self.trials.add(work.fingerprint, isolation, now)
         return True
 
     def update(self, running: Iterable[ItemWork]) -> None:
@@ -94,13 +94,11 @@
         now = time.monotonic()
         for work in running:
             if work.isolation == IsolationLevel.exclusive:
-                self.trials.enter(
-                    work.fingerprint, IsolationLevel.exclusive, now
-                )
-            elif self.trials.is_older(
+                self.trials.add(work.fingerprint, IsolationLevel.exclusive, now)
+            elif self.trials.started_before(
                 work.fingerprint, now - CRASH_WINDOW_SECONDS
             ):
-                self.trials.leave(work.fingerprint)
+                self.trials.remove(work.fingerprint)
 
     def finish(self, work: ItemWork) -> None:
         """End the trial of an item that has stopped running.
@@ -108,7 +106,7 @@
         :param work: the item.
         """
         if work.isolation:
-            self.trials.leave(work.fingerprint)
+            self.trials.remove(work.fingerprint)
 
     def record_interrupted_run(self, work: ItemWork) -> bool:
         """Record a run that broke off.
--- a/src/wigeonpier/hosted/reservations.py
+++ b/src/wigeonpier/hosted/reservations.py
@@ -135,7 +135,7 @@
         if trial is None:
             return ''
         isolation = IsolationLevel(trial.company)
-        verdict = self._trials.ask(trial.fingerprint, isolation, now)
+        verdict = self._trials.check(trial.fingerprint, isolation, now)
         return '' if verdict is Verdict.granted else verdict.value
 
     def _grant(self, trial: TrialAsk | None, now: float) -> None:
@@ -143,7 +143,7 @@
         self._runner.make_room()
         if trial is not None:
             isolation = IsolationLevel(trial.company)
-            self._trials.enter(trial.fingerprint, isolation, now)
+            self._trials.add(trial.fingerprint, isolation, now)
 
 
 def _read_reservation(request: Request) -> ReservationAsk:
--- a/src/wigeonpier/hosted/suspicionhandler.py
+++ b/src/wigeonpier/hosted/suspicionhandler.py
@@ -46,8 +46,8 @@
         # Known facts release trials as well: the run that finished or crashed
         # may have been at this upstream.
         for fingerprint in update.cleared:
-            self._trials.leave(fingerprint)
+            self._trials.remove(fingerprint)
         for crash in update.ends:
-            self._trials.leave(crash.fingerprint)
+            self._trials.remove(crash.fingerprint)
         self._suspicions.merge(update)
         return Response(HTTPStatus.OK, b'{}')
--- a/src/wigeonpier/local/suspects.py
+++ b/src/wigeonpier/local/suspects.py
@@ -107,12 +107,15 @@
             else IsolationLevel.admits_later
         )
         now = time.monotonic()
-        if self.trials.ask(fingerprint, isolation, now) is not Verdict.granted:
+        if (
+            self.trials.check(fingerprint, isolation, now)
+            is not Verdict.granted
+        ):
             raise Refusal(
                 ErrorKind.overloaded,
                 'another suspected request runs here',
             )
-        self.trials.enter(fingerprint, isolation, now)
+        self.trials.add(fingerprint, isolation, now)
         return isolation
 
 
@@ -147,7 +150,7 @@
     def close(self) -> None:
         """Remove the run from the trials."""
         if self.isolation is not None:
-            self.suspects.trials.leave(
+            self.suspects.trials.remove(
                 _get_fingerprint(self.request, self.body)
             )
 
--- a/src/wigeonpier/policy/trial.py
+++ b/src/wigeonpier/policy/trial.py
@@ -58,7 +58,7 @@
 
     trials: dict[str, Trial] = field(default_factory=dict)
 
-    def ask(
+    def check(
         self, fingerprint: str, isolation: IsolationLevel, now: float
     ) -> Verdict:
         """Check whether a suspected request may run.
@@ -79,7 +79,7 @@
             return Verdict.occupied
         return Verdict.granted
 
-    def enter(
+    def add(
         self, fingerprint: str, isolation: IsolationLevel, now: float
     ) -> None:
         """Record that a suspected request was sent here.
@@ -90,14 +90,14 @@
         """
         self.trials[fingerprint] = Trial(isolation, now)
 
-    def leave(self, fingerprint: str) -> None:
+    def remove(self, fingerprint: str) -> None:
         """Record that a suspected request no longer runs here.
 
         :param fingerprint: the request.
         """
         self.trials.pop(fingerprint, None)
 
-    def is_older(self, fingerprint: str, moment: float) -> bool:
+    def started_before(self, fingerprint: str, moment: float) -> bool:
         """Check whether a suspected request started here before a given time.
 
         :param fingerprint: the request.
--- a/tests/policy/test_suspicion.py
+++ b/tests/policy/test_suspicion.py
@@ -186,22 +186,22 @@
 
 def test_lone_run_allows_no_other() -> None:
     table = TrialTable()
-    table.enter('a', IsolationLevel.exclusive, 0)
+    table.add('a', IsolationLevel.exclusive, 0)
     for isolation in IsolationLevel:
-        assert table.ask('b', isolation, 1) is Verdict.occupied
-    assert table.ask('a', IsolationLevel.exclusive, 1) is Verdict.running
-    table.leave('a')
-    assert table.ask('b', IsolationLevel.exclusive, 1) is Verdict.granted
+        assert table.check('b', isolation, 1) is Verdict.occupied
+    assert table.check('a', IsolationLevel.exclusive, 1) is Verdict.running
+    table.remove('a')
+    assert table.check('b', IsolationLevel.exclusive, 1) is Verdict.granted
 
 
 def test_run_apart_allows_latecomers_but_no_lone_run() -> None:
     table = TrialTable()
-    table.enter('a', IsolationLevel.admits_later, 0)
-    assert table.ask('b', IsolationLevel.admits_later, 1) is Verdict.occupied
-    assert table.ask('b', IsolationLevel.exclusive, 1) is Verdict.occupied
-    assert table.ask('b', IsolationLevel.shared, 1) is Verdict.granted
+    table.add('a', IsolationLevel.admits_later, 0)
+    assert table.check('b', IsolationLevel.admits_later, 1) is Verdict.occupied
+    assert table.check('b', IsolationLevel.exclusive, 1) is Verdict.occupied
+    assert table.check('b', IsolationLevel.shared, 1) is Verdict.granted
     assert (
-        table.ask('b', IsolationLevel.exclusive, TRIAL_TIMEOUT_SECONDS + 1)
+        table.check('b', IsolationLevel.exclusive, TRIAL_TIMEOUT_SECONDS + 1)
         is Verdict.granted
     )
 
@@ -245,7 +245,7 @@
 
 def test_is_older_compares_the_start_of_the_run() -> None:
     table = TrialTable()
-    table.enter('a', IsolationLevel.admits_later, 1)
-    assert table.is_older('a', 1.5)
-    assert not table.is_older('a', 1)
-    assert not table.is_older('b', 1.5)
+    table.add('a', IsolationLevel.admits_later, 1)
+    assert table.started_before('a', 1.5)
+    assert not table.started_before('a', 1)
+    assert not table.started_before('b', 1.5)
