--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -71,9 +71,9 @@
         request.company = ''
         if not self._needs_slot(request):
             return self.chooser.choose(request)
-        self.gate.enter(request.priority)
+        self.gate.add(request.priority)
         with ExitStack() as stack:
-            stack.callback(self.gate.leave, request.priority)
+            stack.callback(self.gate.remove, request.priority)
             return self._wait_for_slot(request)
 
     def find_obstacle(self, request: Question) -> SendFailure | None:
--- a/src/wigeonpier/policy/prioritygate.py
+++ b/src/wigeonpier/policy/prioritygate.py
@@ -20,14 +20,14 @@
 
     ranks: Counter[int] = field(default_factory=Counter)
 
-    def enter(self, rank: int) -> None:
+    def add(self, rank: int) -> None:
         """Add a held request.
 
         :param rank: priority of the request.
         """
         self.ranks[rank] += 1
 
-    def leave(self, rank: int) -> None:
+    def remove(self, rank: int) -> None:
         """Remove a held request.
 
         :param rank: priority of the request.
