--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -9,7 +9,7 @@
 from wigeonpier.hosted.failures import SendFailure
 from wigeonpier.policy.fingerprint import digest_request
 from wigeonpier.policy.silence import limit_silence
-from wigeonpier.policy.waiting import Waited
+from wigeonpier.policy.waiting import QueueTime
 
 if TYPE_CHECKING:
     import gevent
@@ -156,7 +156,7 @@
             has_events=has_events,
         )
 
-    def measure_wait(self, now: float) -> Waited:
+    def measure_wait(self, now: float) -> QueueTime:
         """Measure how long the request has waited.
 
         :param now: seconds of the monotonic clock.
@@ -165,7 +165,7 @@
         total = now - self.began_at
         here = total - self.sends[-1].at
         objective = self.route.objective
-        return Waited(total / objective, here / objective)
+        return QueueTime(total / objective, here / objective)
 
     def record_send(self, upstream: UpstreamState) -> None:
         """Record that the request is sent.
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -237,22 +237,25 @@
         if other is None:
             return
         now = time.monotonic()
-        decision = waiting.decide_wait(
+        decision = waiting.decide_queued(
             upstream,
             other,
             question.measure_wait(now),
             now,
         )
-        if decision is waiting.Wait.move:
+        if decision is waiting.QueueDecision.move:
             if self.binder.reserve_at(question, other) is Answer.refused:
                 return
             question.next_upstream = other
             raise QueueLeftError(SendFailure.queued)
         # The pause would exceed the longest gap between the events of a stream
         # that callers accept.
-        if decision is waiting.Wait.step_back and not question.first_event_at:
+        if (
+            decision is waiting.QueueDecision.step_back
+            and not question.first_event_at
+        ):
             raise QueueLeftError(SendFailure.late)
-        if decision is waiting.Wait.distrust:
+        if decision is waiting.QueueDecision.distrust:
             question.next_upstream = other
             raise QueueLeftError(SendFailure.silent)
 
--- a/src/wigeonpier/policy/waiting.py
+++ b/src/wigeonpier/policy/waiting.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waited:
+class QueueTime:
     """How long a request has waited, as shares of its latency objective.
 
     :param altogether: since it arrived.
@@ -55,7 +55,7 @@
     here: float
 
 
-class Wait(StrEnum):
+class QueueDecision(StrEnum):
     """What a waiting request does next."""
 
     stay = 'stay'
@@ -64,12 +64,12 @@
     distrust = 'distrust'
 
 
-def decide_wait(
+def decide_queued(
     current: UpstreamState,
     other: UpstreamState,
-    waited: Waited,
+    waited: QueueTime,
     now: float,
-) -> Wait:
+) -> QueueDecision:
     """Decide what to do with a request whose response headers have not arrived.
 
     :param current: upstream where it waits; its load includes the request.
@@ -81,14 +81,18 @@
         be long.
     """
     if current.load_fresh_until <= now or other.load_fresh_until <= now:
-        return Wait.stay
+        return QueueDecision.stay
     has_room = count_requests(other, now) < other.slots
     if count_requests(current, now) <= current.slots:
         is_unresponsive = waited.here >= UNRESPONSIVE_SHARE and has_room
-        return Wait.distrust if is_unresponsive else Wait.stay
+        return QueueDecision.distrust if is_unresponsive else QueueDecision.stay
     if has_room:
-        return Wait.move
-    return Wait.step_back if waited.altogether >= LATE_SHARE else Wait.stay
+        return QueueDecision.move
+    return (
+        QueueDecision.step_back
+        if waited.altogether >= LATE_SHARE
+        else QueueDecision.stay
+    )
 
 
 def may_return(other: UpstreamState, now: float) -> bool:
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -31,9 +31,9 @@
 from wigeonpier.policy.waiting import (
     LOOK_SECONDS,
     PATIENT_SHARE,
-    Wait,
-    Waited,
-    decide_wait,
+    QueueDecision,
+    QueueTime,
+    decide_queued,
     limit_step_back,
     may_return,
 )
@@ -191,11 +191,13 @@
         other = choose_upstream(states, ask, self.now, self.rng)
         assert other is not None
         waited = (self.now - request.arrived_at) / OBJECTIVE_SECONDS
-        decided = decide_wait(current, other, Waited(waited, waited), self.now)
-        if decided is Wait.move:
+        decided = decide_queued(
+            current, other, QueueTime(waited, waited), self.now
+        )
+        if decided is QueueDecision.move:
             self._leave_queue(request, current)
             self._send_again(request, other)
-        elif decided is Wait.step_back and self.can_step_back:
+        elif decided is QueueDecision.step_back and self.can_step_back:
             self._leave_queue(request, current)
             deadline = self.now + limit_step_back(DEADLINE_SECONDS)
             self._try_resend(request, deadline)
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -9,9 +9,9 @@
 from wigeonpier.models import QuestionLoad
 from wigeonpier.policy.route import record_load
 from wigeonpier.policy.waiting import (
-    Wait,
-    Waited,
-    decide_wait,
+    QueueDecision,
+    QueueTime,
+    decide_queued,
     limit_step_back,
     may_return,
 )
@@ -39,15 +39,18 @@
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
     record_load(current, QuestionLoad(here, takes_work=True), 10.0)
     record_load(other, QuestionLoad(there, takes_work=True), 10.0)
-    decided = decide_wait(current, other, Waited(0.5, 0.5), 10.1)
-    assert decided is (Wait.move if moves else Wait.stay)
+    decided = decide_queued(current, other, QueueTime(0.5, 0.5), 10.1)
+    assert decided is (QueueDecision.move if moves else QueueDecision.stay)
 
 
 def test_outdated_loads_cause_no_moves() -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
     record_load(current, QuestionLoad(9, takes_work=True), 10.0)
     record_load(other, QuestionLoad(0, takes_work=True), 8.0)
-    assert decide_wait(current, other, Waited(2.0, 2.0), 10.1) is Wait.stay
+    assert (
+        decide_queued(current, other, QueueTime(2.0, 2.0), 10.1)
+        is QueueDecision.stay
+    )
     assert not may_return(other, 10.1)
 
 
@@ -78,10 +81,19 @@
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
     record_load(current, QuestionLoad(9, takes_work=True), 10.0)
     record_load(other, QuestionLoad(9, takes_work=True), 10.0)
-    assert decide_wait(current, other, Waited(0.9, 0.9), 10.1) is Wait.stay
-    assert decide_wait(current, other, Waited(1.0, 1.0), 10.1) is Wait.step_back
+    assert (
+        decide_queued(current, other, QueueTime(0.9, 0.9), 10.1)
+        is QueueDecision.stay
+    )
+    assert (
+        decide_queued(current, other, QueueTime(1.0, 1.0), 10.1)
+        is QueueDecision.step_back
+    )
     record_load(current, QuestionLoad(8, takes_work=True), 10.0)
-    assert decide_wait(current, other, Waited(1.0, 1.0), 10.1) is Wait.stay
+    assert (
+        decide_queued(current, other, QueueTime(1.0, 1.0), 10.1)
+        is QueueDecision.stay
+    )
 
 
 def test_unresponsive_upstream_without_a_queue_is_left_early() -> None:
@@ -89,10 +101,19 @@
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
     record_load(current, QuestionLoad(3, takes_work=True), 10.0)
     record_load(other, QuestionLoad(3, takes_work=True), 10.0)
-    assert decide_wait(current, other, Waited(1.9, 1.9), 10.1) is Wait.stay
-    assert decide_wait(current, other, Waited(2.0, 2.0), 10.1) is Wait.distrust
+    assert (
+        decide_queued(current, other, QueueTime(1.9, 1.9), 10.1)
+        is QueueDecision.stay
+    )
+    assert (
+        decide_queued(current, other, QueueTime(2.0, 2.0), 10.1)
+        is QueueDecision.distrust
+    )
     record_load(other, QuestionLoad(8, takes_work=True), 10.0)
-    assert decide_wait(current, other, Waited(2.0, 2.0), 10.1) is Wait.stay
+    assert (
+        decide_queued(current, other, QueueTime(2.0, 2.0), 10.1)
+        is QueueDecision.stay
+    )
 
 
 def test_step_back_leaves_time_for_the_answer() -> None:
