--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -270,7 +270,7 @@
         while time.monotonic() < deadline and not question.is_gone:
             gevent.sleep(waiting.LOOK_SECONDS * self.binder.draw.uniform(1, 2))
             other = self.binder.chooser.choose(question)
-            if other is None or not waiting.may_return(other, time.monotonic()):
+            if other is None or not waiting.may_resend(other, time.monotonic()):
                 continue
             if self.binder.reserve_at(question, other) is Answer.granted:
                 question.next_upstream = other
--- a/src/wigeonpier/policy/waiting.py
+++ b/src/wigeonpier/policy/waiting.py
@@ -95,7 +95,7 @@
     )
 
 
-def may_return(other: UpstreamState, now: float) -> bool:
+def may_resend(other: UpstreamState, now: float) -> bool:
     """Decide whether a request that stepped back is sent again.
 
     :param other: upstream that it would go to.
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -35,7 +35,7 @@
     QueueTime,
     decide_queued,
     limit_step_back,
-    may_return,
+    may_resend,
 )
 
 if TYPE_CHECKING:
@@ -210,7 +210,7 @@
         states = self.states[request.entry]
         other = choose_upstream(states, CRITERIA, self.now, self.rng)
         assert other is not None
-        if may_return(other, self.now) or self.now > deadline:
+        if may_resend(other, self.now) or self.now > deadline:
             self._send_again(request, other)
         else:
             pause = LOOK_SECONDS * self.rng.uniform(1, 2)
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -13,7 +13,7 @@
     QueueTime,
     decide_queued,
     limit_step_back,
-    may_return,
+    may_resend,
 )
 
 
@@ -51,7 +51,7 @@
         decide_queued(current, other, QueueTime(2.0, 2.0), 10.1)
         is QueueDecision.stay
     )
-    assert not may_return(other, 10.1)
+    assert not may_resend(other, 10.1)
 
 
 @pytest.mark.parametrize(('upstreams', 'rate'), [(22, 145), (22, 160)])
@@ -121,6 +121,6 @@
     assert limit_step_back(1.0) == 0.5
     other = build_upstream('vm-2')
     record_load(other, QuestionLoad(6, takes_work=True), 10.0)
-    assert may_return(other, 10.1)
+    assert may_resend(other, 10.1)
     other.sent_since_report += 1
-    assert not may_return(other, 10.1)
+    assert not may_resend(other, 10.1)
