--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -158,7 +158,7 @@
         """
         self.record_failure(question, upstream, failure)
         if failure is SendFailure.late:
-            self._step_back(question, upstream)
+            self._back_off(question, upstream)
 
     def _send_once(
         self,
@@ -251,7 +251,7 @@
         # The pause would exceed the longest gap between the events of a stream
         # that callers accept.
         if (
-            decision is waiting.QueueDecision.step_back
+            decision is waiting.QueueDecision.back_off
             and not question.first_event_at
         ):
             raise QueueLeftError(SendFailure.late)
@@ -259,13 +259,13 @@
             question.next_upstream = other
             raise QueueLeftError(SendFailure.silent)
 
-    def _step_back(self, question: Question, upstream: UpstreamState) -> None:
+    def _back_off(self, question: Question, upstream: UpstreamState) -> None:
         """Wait at the entry until an upstream has room, or for a time limit.
 
         :raises CallerGoneError: when the caller has disconnected.
         """
         question.tried.discard(upstream.name)
-        limit = waiting.limit_step_back(question.seconds_left)
+        limit = waiting.limit_back_off(question.seconds_left)
         deadline = time.monotonic() + limit
         while time.monotonic() < deadline and not question.is_gone:
             gevent.sleep(waiting.LOOK_SECONDS * self.binder.draw.uniform(1, 2))
--- a/src/wigeonpier/policy/waiting.py
+++ b/src/wigeonpier/policy/waiting.py
@@ -7,7 +7,7 @@
 closer to the capacity of the upstreams, 0.05 and 0.03.
 
 In an overload all upstreams have queues, and serving in order of arrival makes
-nearly all requests late.  A request that is late already therefore steps back,
+nearly all requests late.  A request that is late already therefore backs off,
 out of the queues, until the peak is over, so that newer ones can be in time:
 0.48 late without this and 0.23 with it, where 22 of 28 upstreams are left.
 The mean wait stays 0.30 s; the longest grows from 1.7 to 3.1 s, within the
@@ -36,9 +36,9 @@
 # The load feed sends a line each 0.1 s.
 LOOK_SECONDS = 0.05
 # A load peak lasts 2.4 s, part of which is over by then.
-MAX_STEP_BACK_SECONDS = 1.5
+MAX_BACK_OFF_SECONDS = 1.5
 # Share of the remaining time, so that the answer still fits.
-STEP_BACK_SHARE = 0.5
+BACK_OFF_SHARE = 0.5
 # Slots left to requests that can still be in time.
 SLOTS_LEFT_TO_OTHERS = 1
 
@@ -60,7 +60,7 @@
 
     stay = 'stay'
     move = 'move'
-    step_back = 'step_back'
+    back_off = 'step_back'
     distrust = 'distrust'
 
 
@@ -89,14 +89,14 @@
     if has_room:
         return QueueDecision.move
     return (
-        QueueDecision.step_back
+        QueueDecision.back_off
         if waited.altogether >= LATE_SHARE
         else QueueDecision.stay
     )
 
 
 def may_resend(other: UpstreamState, now: float) -> bool:
-    """Decide whether a request that stepped back is sent again.
+    """Decide whether a request that backed off is sent again.
 
     :param other: upstream that it would go to.
     :param now: seconds.
@@ -107,10 +107,10 @@
     return count_requests(other, now) < other.slots - SLOTS_LEFT_TO_OTHERS
 
 
-def limit_step_back(seconds_left: float) -> float:
-    """Limit how long a request steps back.
+def limit_back_off(seconds_left: float) -> float:
+    """Limit how long a request backs off.
 
     :param seconds_left: until its deadline or timeout.
     :returns: seconds after which it is sent again, even without room.
     """
-    return min(MAX_STEP_BACK_SECONDS, seconds_left * STEP_BACK_SHARE)
+    return min(MAX_BACK_OFF_SECONDS, seconds_left * BACK_OFF_SHARE)
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -38,10 +38,10 @@
 
 
 @pytest.mark.parametrize('has_begun', [False, True])
-def test_a_stream_that_has_begun_does_not_step_back(has_begun: bool) -> None:
+def test_a_stream_that_has_begun_does_not_back_off(has_begun: bool) -> None:
     """The pause would make its caller disconnect.
 
-    A request without its first event steps back.
+    A request without its first event backs off.
     """
     sender = build_sender(12, 12)
     current = sender.binder.replicas.list_upstreams()[0]
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -34,7 +34,7 @@
     QueueDecision,
     QueueTime,
     decide_queued,
-    limit_step_back,
+    limit_back_off,
     may_resend,
 )
 
@@ -77,7 +77,7 @@
     rate: float
     has_feed: bool
     can_move: bool = False
-    can_step_back: bool = False
+    can_back_off: bool = False
     can_reserve: bool = False
     upstreams: int = UPSTREAMS
     entries: int = ENTRIES
@@ -197,9 +197,9 @@
         if decided is QueueDecision.move:
             self._leave_queue(request, current)
             self._send_again(request, other)
-        elif decided is QueueDecision.step_back and self.can_step_back:
+        elif decided is QueueDecision.back_off and self.can_back_off:
             self._leave_queue(request, current)
-            deadline = self.now + limit_step_back(DEADLINE_SECONDS)
+            deadline = self.now + limit_back_off(DEADLINE_SECONDS)
             self._try_resend(request, deadline)
         else:
             self._schedule(
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -12,7 +12,7 @@
     QueueDecision,
     QueueTime,
     decide_queued,
-    limit_step_back,
+    limit_back_off,
     may_resend,
 )
 
@@ -55,29 +55,29 @@
 
 
 @pytest.mark.parametrize(('upstreams', 'rate'), [(22, 145), (22, 160)])
-def test_late_requests_step_back_so_that_others_are_in_time(
+def test_late_requests_back_off_so_that_others_are_in_time(
     upstreams: int, rate: float
 ) -> None:
     """Requests arrive faster than upstreams answer, so that all queue."""
-    without_step_back = PeakModel(
+    without_back_off = PeakModel(
         rate, has_feed=True, can_move=True, upstreams=upstreams
     )
-    with_step_back = PeakModel(
+    with_back_off = PeakModel(
         rate,
         has_feed=True,
         can_move=True,
-        can_step_back=True,
+        can_back_off=True,
         upstreams=upstreams,
     )
-    assert with_step_back.run() < 0.75 * without_step_back.run()
-    assert max(with_step_back.waits) < 4
-    mean = sum(with_step_back.waits) / len(with_step_back.waits)
-    assert mean < 1.3 * sum(without_step_back.waits) / len(
-        without_step_back.waits
+    assert with_back_off.run() < 0.75 * without_back_off.run()
+    assert max(with_back_off.waits) < 4
+    mean = sum(with_back_off.waits) / len(with_back_off.waits)
+    assert mean < 1.3 * sum(without_back_off.waits) / len(
+        without_back_off.waits
     )
 
 
-def test_only_late_requests_step_back_and_only_from_a_queue() -> None:
+def test_only_late_requests_back_off_and_only_from_a_queue() -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
     record_load(current, QuestionLoad(9, takes_work=True), 10.0)
     record_load(other, QuestionLoad(9, takes_work=True), 10.0)
@@ -87,7 +87,7 @@
     )
     assert (
         decide_queued(current, other, QueueTime(1.0, 1.0), 10.1)
-        is QueueDecision.step_back
+        is QueueDecision.back_off
     )
     record_load(current, QuestionLoad(8, takes_work=True), 10.0)
     assert (
@@ -116,9 +116,9 @@
     )
 
 
-def test_step_back_leaves_time_for_the_answer() -> None:
-    assert limit_step_back(4.7) == 1.5
-    assert limit_step_back(1.0) == 0.5
+def test_back_off_leaves_time_for_the_answer() -> None:
+    assert limit_back_off(4.7) == 1.5
+    assert limit_back_off(1.0) == 0.5
     other = build_upstream('vm-2')
     record_load(other, QuestionLoad(6, takes_work=True), 10.0)
     assert may_resend(other, 10.1)
