--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -209,7 +209,7 @@
         limit = question.limit_silence(has_events=False)
         began = time.monotonic()
         exchange.write(_encode(question, upstream), limit)
-        timeout = question.route.objective * waiting.PATIENT_SHARE
+        timeout = question.route.objective * waiting.MIN_QUEUE_SHARE
         # A suspected request has to stay where it is isolated from others.
         may_move = question.may_run_again and not question.company
         while may_move and 0 < timeout < limit:
@@ -219,7 +219,7 @@
                 self._check_queue(question, upstream)
             else:
                 return
-            timeout = waiting.LOOK_SECONDS
+            timeout = waiting.CHECK_INTERVAL_SECONDS
             if time.monotonic() - began + timeout > limit:
                 break
         exchange.await_head(limit - (time.monotonic() - began))
@@ -268,7 +268,9 @@
         limit = waiting.limit_back_off(question.seconds_left)
         deadline = time.monotonic() + limit
         while time.monotonic() < deadline and not question.is_gone:
-            gevent.sleep(waiting.LOOK_SECONDS * self.binder.draw.uniform(1, 2))
+            gevent.sleep(
+                waiting.CHECK_INTERVAL_SECONDS * self.binder.draw.uniform(1, 2)
+            )
             other = self.binder.chooser.choose(question)
             if other is None or not waiting.may_resend(other, time.monotonic()):
                 continue
--- a/src/wigeonpier/policy/waiting.py
+++ b/src/wigeonpier/policy/waiting.py
@@ -27,14 +27,14 @@
 
 # Share of the latency objective.  The other half is left for the network and
 # the prompt; about a fifth of the slots become free meanwhile.
-PATIENT_SHARE = 0.5
+MIN_QUEUE_SHARE = 0.5
 # Share of the latency objective after which a request is late.
 LATE_SHARE = 1.0
 # Share of the latency objective.  An upstream without a queue begins an answer
 # well within it; an unresponsive one used to cost 1.2 s of waiting.
 UNRESPONSIVE_SHARE = 2.0
 # The load feed sends a line each 0.1 s.
-LOOK_SECONDS = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 # A load peak lasts 2.4 s, part of which is over by then.
 MAX_BACK_OFF_SECONDS = 1.5
 # Share of the remaining time, so that the answer still fits.
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -29,8 +29,8 @@
     record_load,
 )
 from wigeonpier.policy.waiting import (
-    LOOK_SECONDS,
-    PATIENT_SHARE,
+    CHECK_INTERVAL_SECONDS,
+    MIN_QUEUE_SHARE,
     QueueDecision,
     QueueTime,
     decide_queued,
@@ -58,7 +58,7 @@
 REPORT_SECONDS = 0.1
 OBJECTIVE_SECONDS = 0.3
 DEADLINE_SECONDS = 5.0
-QUEUE_TIMEOUT_SECONDS = OBJECTIVE_SECONDS * PATIENT_SHARE
+QUEUE_TIMEOUT_SECONDS = OBJECTIVE_SECONDS * MIN_QUEUE_SHARE
 
 
 @dataclass(eq=False)
@@ -203,7 +203,10 @@
             self._try_resend(request, deadline)
         else:
             self._schedule(
-                self.now + LOOK_SECONDS, self._check_queue, request, current
+                self.now + CHECK_INTERVAL_SECONDS,
+                self._check_queue,
+                request,
+                current,
             )
 
     def _try_resend(self, request: ModelRequest, deadline: float) -> None:
@@ -213,7 +216,7 @@
         if may_resend(other, self.now) or self.now > deadline:
             self._send_again(request, other)
         else:
-            pause = LOOK_SECONDS * self.rng.uniform(1, 2)
+            pause = CHECK_INTERVAL_SECONDS * self.rng.uniform(1, 2)
             self._schedule(
                 self.now + pause, self._try_resend, request, deadline
             )
