--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -112,7 +112,7 @@
         request.asks += 1
         return self.reserver.ask(
             upstream,
-            request.route.objective * reservation.ASK_SHARE,
+            request.route.objective * reservation.RESERVATION_TIMEOUT_SHARE,
             is_late=reservation.is_late(self._measure_waited_share(request)),
         )
 
@@ -183,7 +183,7 @@
         """
         tried: set[str] = set()
         has_refusal = False
-        while len(tried) < reservation.MOST_ASKS:
+        while len(tried) < reservation.MAX_RESERVATION_ATTEMPTS:
             candidate = self.chooser.choose(request, tried)
             if candidate is None:
                 break
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -8,7 +8,10 @@
 from wigeonpier.hosted.news import TrialAsk
 from wigeonpier.hosted.reserver import Answer
 from wigeonpier.policy.ranking import rank_by_key
-from wigeonpier.policy.reservation import ASK_SHARE, MOST_ASKS
+from wigeonpier.policy.reservation import (
+    MAX_RESERVATION_ATTEMPTS,
+    RESERVATION_TIMEOUT_SHARE,
+)
 from wigeonpier.policy.suspicion import RunMode
 from wigeonpier.policy.trial import IsolationLevel
 
@@ -86,13 +89,15 @@
             for state in self.chooser.list_candidates(question)
             if state.version not in tried
         }
-        ranked = rank_by_key(list(usable), question.fingerprint)[:MOST_ASKS]
+        ranked = rank_by_key(list(usable), question.fingerprint)[
+            :MAX_RESERVATION_ATTEMPTS
+        ]
         upstreams = (usable[name] for name in ranked)
         return self._try_each(question, upstreams, IsolationLevel.exclusive)
 
     def _draw_upstreams(self, question: Question) -> Iterator[UpstreamState]:
         excluded: set[str] = set()
-        while len(excluded) < MOST_ASKS:
+        while len(excluded) < MAX_RESERVATION_ATTEMPTS:
             upstream = self.chooser.choose(question, excluded)
             if upstream is None:
                 return
@@ -111,7 +116,7 @@
             answer = self.reserver.ask(
                 upstream,
                 max(
-                    question.route.objective * ASK_SHARE,
+                    question.route.objective * RESERVATION_TIMEOUT_SHARE,
                     MIN_RESERVATION_TIMEOUT_SECONDS,
                 ),
                 is_late=False,
--- a/src/wigeonpier/policy/reservation.py
+++ b/src/wigeonpier/policy/reservation.py
@@ -24,7 +24,7 @@
 
 # Upstreams that are tried in one round; in the model 0.031 late with one, 0.009
 # with two, 0.006 with three, 0.010 with four at a high load.
-MOST_ASKS = 3
+MAX_RESERVATION_ATTEMPTS = 3
 # Time within which a request arrives at the upstream that reserved a slot: two
 # trips between data centres, and a new connection.
 ARRIVAL_SECONDS = 0.03
@@ -36,7 +36,7 @@
 LATE_ROUND_FACTOR = 3.0
 # Share of the latency objective after which an unanswered reservation request
 # is abandoned.
-ASK_SHARE = 0.2
+RESERVATION_TIMEOUT_SHARE = 0.2
 # Share of the time of the request, so that the answer still fits.
 HOLD_SHARE = 0.5
 
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -16,7 +16,7 @@
 from tests.builders import build_upstream
 from wigeonpier.models import QuestionLoad
 from wigeonpier.policy.reservation import (
-    MOST_ASKS,
+    MAX_RESERVATION_ATTEMPTS,
     SlotUse,
     is_late,
     limit_hold,
@@ -141,7 +141,7 @@
         states = self.states[request.entry]
         waited = (self.now - request.arrived_at) / OBJECTIVE_SECONDS
         refused: set[str] = set()
-        while len(refused) < min(MOST_ASKS, len(states)):
+        while len(refused) < min(MAX_RESERVATION_ATTEMPTS, len(states)):
             ask = replace(CRITERIA, excluded=frozenset(refused))
             drawn = choose_upstream(states, ask, self.now, self.rng)
             assert drawn is not None
