--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -127,7 +127,9 @@
                 return self._choose_after_wait(request)
             if not self._is_any_expected(request):
                 return None
-            pause = reservation.plan_round(self._measure_waited_share(request))
+            pause = reservation.compute_round_pause(
+                self._measure_waited_share(request)
+            )
             gevent.sleep(pause * self.draw.uniform(*PAUSE_JITTER))
             if request.is_gone:
                 raise CallerGoneError('the caller has left')
--- a/src/wigeonpier/policy/reservation.py
+++ b/src/wigeonpier/policy/reservation.py
@@ -77,7 +77,7 @@
     return waited >= LATE_SHARE
 
 
-def plan_round(waited: float) -> float:
+def compute_round_pause(waited: float) -> float:
     """Compute the pause between two rounds of reservation attempts.
 
     :param waited: how long the held request has waited, as a share of its
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -18,10 +18,10 @@
 from wigeonpier.policy.reservation import (
     MAX_RESERVATION_ATTEMPTS,
     SlotUse,
+    compute_round_pause,
     is_late,
     limit_hold,
     may_reserve,
-    plan_round,
 )
 from wigeonpier.policy.route import (
     RoutingCriteria,
@@ -153,7 +153,7 @@
         if self.now - request.arrived_at >= limit:
             self._send(request, drawn)
             return
-        pause = plan_round(waited) * self.rng.uniform(0.5, 1.5)
+        pause = compute_round_pause(waited) * self.rng.uniform(0.5, 1.5)
         self._schedule(self.now + pause, self._reserve, request)
 
     def _is_granted(
--- a/tests/policy/test_reservation.py
+++ b/tests/policy/test_reservation.py
@@ -10,10 +10,10 @@
 from wigeonpier.policy.reservation import (
     ARRIVAL_SECONDS,
     SlotUse,
+    compute_round_pause,
     is_late,
     limit_hold,
     may_reserve,
-    plan_round,
 )
 
 
@@ -97,8 +97,8 @@
 
 
 def test_late_request_is_retried_less_often() -> None:
-    assert plan_round(1.0) > plan_round(0.9)
-    assert plan_round(0.9) <= ARRIVAL_SECONDS
+    assert compute_round_pause(1.0) > compute_round_pause(0.9)
+    assert compute_round_pause(0.9) <= ARRIVAL_SECONDS
 
 
 def test_hold_leaves_time_for_the_answer() -> None:
