--- a/src/wigeonpier/policy/reservation.py
+++ b/src/wigeonpier/policy/reservation.py
@@ -46,12 +46,12 @@
     """What takes the slots of an upstream, apart from batch items.
 
     :param slots: requests that it runs at once.
-    :param questions: online requests that run or wait there.
+    :param online: online requests that run or wait there.
     :param reserved: slots reserved for online requests in flight.
     """
 
     slots: int
-    questions: int
+    online: int
     reserved: int
 
 
@@ -65,7 +65,7 @@
     slots = use.slots
     if is_late:
         slots = max(1, slots - SLOTS_LEFT_TO_OTHERS)
-    return use.questions + use.reserved < slots
+    return use.online + use.reserved < slots
 
 
 def is_late(waited: float) -> bool:
--- a/tests/policy/test_reservation.py
+++ b/tests/policy/test_reservation.py
@@ -76,12 +76,12 @@
     st.integers(1, 64), st.integers(0, 80), st.integers(0, 80), st.booleans()
 )
 def test_no_more_slots_are_reserved_than_exist(
-    slots: int, questions: int, reserved: int, late: bool
+    slots: int, online: int, reserved: int, late: bool
 ) -> None:
-    use = SlotUse(slots, questions, reserved)
+    use = SlotUse(slots, online, reserved)
     if may_reserve(use, is_late=late):
-        assert questions + reserved + 1 <= slots
-        assert not late or slots == 1 or questions + reserved + 2 <= slots
+        assert online + reserved + 1 <= slots
+        assert not late or slots == 1 or online + reserved + 2 <= slots
 
 
 @given(st.integers(1, 64), st.booleans())
@@ -90,7 +90,7 @@
 
 
 def test_late_request_leaves_the_last_slot_to_others() -> None:
-    last = SlotUse(slots=8, questions=6, reserved=1)
+    last = SlotUse(slots=8, online=6, reserved=1)
     assert may_reserve(last, is_late=is_late(0.9))
     assert not may_reserve(last, is_late=is_late(1.0))
     assert may_reserve(SlotUse(8, 6, 0), is_late=is_late(1.0))
