--- a/src/wigeonpier/local/gate.py
+++ b/src/wigeonpier/local/gate.py
@@ -32,13 +32,13 @@
     """A batch item at the upstream.
 
     :param slack: seconds until the deadline of its job.
-    :param is_one_run: whether it may not be stopped and run again.
+    :param is_run_once: whether it may not be stopped and run again.
     :param stop: pauses the run; called at most once per admission.
     :param is_stopped: whether it was requested to stop.
     """
 
     slack: float
-    is_one_run: bool
+    is_run_once: bool
     stop: Callable[[], None] = _ignore_stop
     is_stopped: bool = False
 
@@ -96,7 +96,7 @@
             online=self.online,
             online_waiting=len(self._waiting),
             batch=sum(not stream.is_stopped for stream in self.batch),
-            one_run=sum(stream.is_one_run for stream in self.batch),
+            run_once=sum(stream.is_run_once for stream in self.batch),
         )
 
     @contextmanager
@@ -142,10 +142,10 @@
             self.batch.remove(stream)
             self._admit_next()
 
-    def may_start_batch(self, *, is_one_run: bool = False) -> bool:
+    def may_start_batch(self, *, is_run_once: bool = False) -> bool:
         """Check whether one more batch stream may start now.
 
-        :param is_one_run: whether it may not be stopped and run again.
+        :param is_run_once: whether it may not be stopped and run again.
         :returns: whether it may.
         """
         if not self.is_open or self.kind is GateKind.closed:
@@ -155,7 +155,7 @@
         return policy.may_admit_batch(
             self.get_occupancy(),
             self.slots,
-            is_one_run=is_one_run,
+            is_run_once=is_run_once,
         )
 
     def watch_tokens(self) -> TokenWatch:
@@ -172,7 +172,7 @@
                 occupancy.online,
                 occupancy.online_waiting + arriving,
                 occupancy.batch,
-                occupancy.one_run,
+                occupancy.run_once,
             ),
             self.slots,
         )
@@ -181,7 +181,7 @@
         preemptible = [
             stream
             for stream in self.batch
-            if not stream.is_one_run and not stream.is_stopped
+            if not stream.is_run_once and not stream.is_stopped
         ]
         preemptible.sort(key=lambda stream: stream.slack, reverse=True)
         for stream in preemptible[:count]:
--- a/src/wigeonpier/local/work.py
+++ b/src/wigeonpier/local/work.py
@@ -152,7 +152,7 @@
             if active in self._paused:
                 self._paused.remove(active)
                 active.resumed.set()
-            elif not (spare_run_once and active.stream.is_one_run):
+            elif not (spare_run_once and active.stream.is_run_once):
                 active.stop()
 
     def _start_items(self) -> None:
@@ -174,8 +174,8 @@
 
     def _start_from_chunk(self, chunk: Chunk) -> bool:
         if chunk.ready:
-            is_one_run = _is_run_once(chunk, chunk.ready[0])
-            if not self.gate.may_start_batch(is_one_run=is_one_run):
+            is_run_once = _is_run_once(chunk, chunk.ready[0])
+            if not self.gate.may_start_batch(is_run_once=is_run_once):
                 return False
             self._spawn(chunk, chunk.ready.popleft(), alone=False)
             if not chunk.ready:
@@ -189,7 +189,7 @@
     def _spawn(self, chunk: Chunk, item: Item, *, alone: bool) -> None:
         stream = BatchStream(
             slack=chunk.job.deadline - time.time(),
-            is_one_run=_is_run_once(chunk, item),
+            is_run_once=_is_run_once(chunk, item),
         )
         active = ActiveItem(chunk, item, stream)
         self._running.add(active)
--- a/src/wigeonpier/policy/gate.py
+++ b/src/wigeonpier/policy/gate.py
@@ -98,30 +98,30 @@
     :param online: online streams that run.
     :param online_waiting: online requests that wait in the local process.
     :param batch: batch streams that run.
-    :param one_run: those of them that may not be stopped and run again.
+    :param run_once: those of them that may not be stopped and run again.
     """
 
     online: int
     online_waiting: int
     batch: int
-    one_run: int
+    run_once: int
 
 
 def may_admit_batch(
-    occupancy: Occupancy, slots: int, *, is_one_run: bool
+    occupancy: Occupancy, slots: int, *, is_run_once: bool
 ) -> bool:
     """Decide whether one more batch stream may start.
 
     :param occupancy: what runs and waits.
     :param slots: streams that fit within the target.
-    :param is_one_run: whether it may not be stopped and run again; such items
+    :param is_run_once: whether it may not be stopped and run again; such items
         only get a share of the slots, since they cannot be preempted.
     :returns: false while any online request waits.
     """
     if occupancy.online_waiting or occupancy.online + occupancy.batch >= slots:
         return False
-    if is_one_run:
-        return occupancy.one_run < max(1, int(slots * RUN_ONCE_SHARE))
+    if is_run_once:
+        return occupancy.run_once < max(1, int(slots * RUN_ONCE_SHARE))
     return True
 
 
@@ -148,7 +148,7 @@
     excess = (
         occupancy.online + occupancy.online_waiting + occupancy.batch - slots
     )
-    return max(0, min(excess, occupancy.batch - occupancy.one_run))
+    return max(0, min(excess, occupancy.batch - occupancy.run_once))
 
 
 def _add_prior(model: StepModel) -> StepModel:
--- a/tests/policy/test_gate.py
+++ b/tests/policy/test_gate.py
@@ -17,11 +17,11 @@
 )
 
 OCCUPANCIES = st.builds(
-    lambda online, waiting, batch, one_run: Occupancy(
+    lambda online, waiting, batch, run_once: Occupancy(
         online,
         waiting,
         batch,
-        min(one_run, batch),
+        min(run_once, batch),
     ),
     st.integers(0, 40),
     st.integers(0, 5),
@@ -32,9 +32,9 @@
 
 @given(OCCUPANCIES, st.integers(1, 64), st.booleans())
 def test_no_batch_is_admitted_while_online_waits(
-    occupancy, slots, one_run
+    occupancy, slots, run_once
 ) -> None:
-    admitted = may_admit_batch(occupancy, slots, is_one_run=one_run)
+    admitted = may_admit_batch(occupancy, slots, is_run_once=run_once)
     if admitted:
         assert not occupancy.online_waiting
         assert occupancy.online + occupancy.batch < slots
@@ -48,8 +48,8 @@
     remaining = (
         occupancy.online + occupancy.online_waiting + occupancy.batch - count
     )
-    assert 0 <= count <= occupancy.batch - occupancy.one_run
-    assert remaining <= slots or count == occupancy.batch - occupancy.one_run
+    assert 0 <= count <= occupancy.batch - occupancy.run_once
+    assert remaining <= slots or count == occupancy.batch - occupancy.run_once
 
 
 @given(st.integers(0, 1000), st.floats(0.004, 0.02), st.floats(0.0003, 0.002))
