--- a/src/wigeonpier/hosted/runner.py
+++ b/src/wigeonpier/hosted/runner.py
@@ -95,7 +95,7 @@
         upstream = self._make_upstream_view()
         if upstream is None:
             return len(running)
-        return len(running) - pacing.count_firm(upstream, running)
+        return len(running) - pacing.count_held_slots(upstream, running)
 
     def make_room(self) -> None:
         """Start items in free slots, and pause items for online requests.
@@ -151,7 +151,7 @@
             and work.retry_at <= now
             and self._trials.is_runnable(work)
         ]
-        pace = pacing.set_pace(
+        pace = pacing.decide_pace(
             upstream,
             [self._make_item_view(work, now) for work in running],
             [self._make_item_view(work, now) for work in waiting],
--- a/src/wigeonpier/policy/pacing.py
+++ b/src/wigeonpier/policy/pacing.py
@@ -82,7 +82,7 @@
     pause: tuple[Key, ...] = ()
 
 
-def set_pace(
+def decide_pace(
     upstream: UpstreamView,
     running: list[ItemView],
     waiting: list[ItemView],
@@ -96,7 +96,7 @@
     """
     online_requests = max(0, upstream.running + upstream.waiting - len(running))
     free_slots = max(0, upstream.slots - RESERVED_SLOTS - online_requests)
-    allowed = max(free_slots, count_firm(upstream, running))
+    allowed = max(free_slots, count_held_slots(upstream, running))
     if online_requests and len(running) > allowed:
         return Pace(pause=_choose_to_pause(upstream, running, allowed))
     return Pace(start=_choose_to_start(upstream, running, waiting, free_slots))
@@ -114,7 +114,7 @@
     return item.seconds_left - upstream.run_seconds * remaining
 
 
-def count_firm(upstream: UpstreamView, running: list[ItemView]) -> int:
+def count_held_slots(upstream: UpstreamView, running: list[ItemView]) -> int:
     """Count the slots that items keep from online requests.
 
     :param upstream: load of the upstream.
--- a/tests/policy/test_pacing.py
+++ b/tests/policy/test_pacing.py
@@ -13,9 +13,9 @@
     ItemView,
     UpstreamView,
     compute_slack,
-    count_firm,
+    count_held_slots,
+    decide_pace,
     is_urgent,
-    set_pace,
 )
 
 SLOTS = 8
@@ -43,19 +43,19 @@
 
 def test_items_fill_an_idle_upstream() -> None:
     waiting = build_items('j', [(18, 0)] * 10)
-    assert len(set_pace(build_view(), [], waiting).start) == SLOTS
+    assert len(decide_pace(build_view(), [], waiting).start) == SLOTS
 
 
 def test_items_are_paused_when_requests_wait() -> None:
     running = build_items('j', [(18, 0)] * 6)
-    pace = set_pace(build_view(8, 3), running, [])
+    pace = decide_pace(build_view(8, 3), running, [])
     assert len(pace.pause) == 3
     assert not pace.start
 
 
 def test_items_are_not_paused_for_other_items() -> None:
     running = build_items('j', [(18, 0)] * 9)
-    assert not set_pace(build_view(8, 1), running, []).pause
+    assert not decide_pace(build_view(8, 1), running, []).pause
 
 
 def test_late_items_do_not_take_slots_of_urgent_ones() -> None:
@@ -63,19 +63,19 @@
     late = build_items('late', [(-5, 0)] * 4)
     urgent = build_items('urgent', [(5.5, 0)])
     assert is_urgent(build_view(), urgent[0])
-    pace = set_pace(build_view(8, 3), [], late + urgent)
+    pace = decide_pace(build_view(8, 3), [], late + urgent)
     assert pace.start == (('urgent', 0),)
 
 
 def test_urgent_items_take_a_few_slots_only() -> None:
     urgent = build_items('urgent', [(5.5, 0)] * 6)
-    pace = set_pace(build_view(8, 3), [], urgent)
+    pace = decide_pace(build_view(8, 3), [], urgent)
     assert len(pace.start) == URGENT_SLOTS
 
 
 def test_items_due_first_or_run_longest_keep_running() -> None:
     running = build_items('j', [(18, 0), (7, 0), (18, 0.9)])
-    pace = set_pace(build_view(8, 1), running, [])
+    pace = decide_pace(build_view(8, 1), running, [])
     assert pace.pause == (('j', 0),)
 
 
@@ -84,7 +84,7 @@
     running, waiting, own, others
 ) -> None:
     active = build_items('own', own[:running])
-    pace = set_pace(
+    pace = decide_pace(
         build_view(running, waiting), active, build_items('other', others)
     )
     assert not (pace.start and pace.pause)
@@ -140,7 +140,7 @@
             for key in progress
             if key not in engine.items
         ]
-        pace = set_pace(view, active, paused)
+        pace = decide_pace(view, active, paused)
         for key in pace.pause if allow_pauses else ():
             engine.items.pop(key)
         for key in pace.start:
@@ -177,8 +177,8 @@
 
 def test_few_slots_are_held_by_items() -> None:
     urgent = build_items('urgent', [(5.5, 0)] * 6)
-    assert count_firm(build_view(8, 3), urgent) == URGENT_SLOTS
-    assert count_firm(build_view(8, 3), build_items('j', [(18, 0)])) == 0
+    assert count_held_slots(build_view(8, 3), urgent) == URGENT_SLOTS
+    assert count_held_slots(build_view(8, 3), build_items('j', [(18, 0)])) == 0
 
 
 # Online requests a second outside and in a peak; items arrive in threes.
@@ -231,7 +231,7 @@
         active = [views[key] for key in items if items[key].is_running]
         paused = [views[key] for key in items if not items[key].is_running]
         view = replace(build_view(), deviation=deviation)
-        held = count_firm(view, active)
+        held = count_held_slots(view, active)
         is_arriving = rng.random() < RATES[now % 5.8 > 3.4] * TICK_SECONDS
         if is_arriving and len(online_ends) + held < SLOTS:
             online_ends.append(now + 0.72)
@@ -241,7 +241,7 @@
             running=min(load, SLOTS),
             waiting=max(0, load - SLOTS),
         )
-        pace = set_pace(view, active, paused)
+        pace = decide_pace(view, active, paused)
         for key in pace.pause:
             items[key].is_running = False
         for key in pace.start:
