--- a/src/wigeonpier/hosted/knowledge.py
+++ b/src/wigeonpier/hosted/knowledge.py
@@ -99,7 +99,7 @@
             return
         age = self.measure().age
         self._report_age(age)
-        if freshness.is_due(age, self._bound):
+        if freshness.is_check_due(age, self._bound):
             self._take(self._prove())
         gevent.sleep(self._bound / CHECKS_PER_BOUND)
 
@@ -111,7 +111,7 @@
             self._confirmed_at = max(self._confirmed_at, reading.asked_at)
 
     def _report_age(self, age: float) -> None:
-        is_outdated = not freshness.may_judge(age, self._bound)
+        is_outdated = not freshness.may_authorize(age, self._bound)
         if is_outdated and not self._is_outdated and math.isfinite(age):
             log_event(Event.knowledge_old, age=round(age, 3))
         elif self._is_outdated and not is_outdated:
--- a/src/wigeonpier/hosted/newest.py
+++ b/src/wigeonpier/hosted/newest.py
@@ -72,7 +72,7 @@
 
     def _read(self) -> Reading:
         last = self._last
-        if last and freshness.may_share(
+        if last and freshness.may_reuse_reading(
             read_clock() - last.asked_at,
             self._bound,
         ):
--- a/src/wigeonpier/policy/freshness.py
+++ b/src/wigeonpier/policy/freshness.py
@@ -29,7 +29,7 @@
 UNKNOWN_KEY_SHARE = 0.6
 
 
-def may_judge(age: float, bound: float) -> bool:
+def may_authorize(age: float, bound: float) -> bool:
     """Decide whether a request with a known key may run.
 
     :param age: seconds since the configuration was known to be the newest.
@@ -60,7 +60,7 @@
     return not bound or age < bound * READY_SHARE
 
 
-def is_due(age: float, bound: float) -> bool:
+def is_check_due(age: float, bound: float) -> bool:
     """Decide whether the configuration has to be confirmed again.
 
     :param age: seconds since the configuration was known to be the newest.
@@ -70,7 +70,7 @@
     return bool(bound) and age >= bound * CONFIRM_SHARE
 
 
-def may_share(age: float, bound: float) -> bool:
+def may_reuse_reading(age: float, bound: float) -> bool:
     """Decide whether a process may pass on its last reading to another one.
 
     :param age: seconds since the reading was requested.
--- a/src/wigeonpier/policy/identity.py
+++ b/src/wigeonpier/policy/identity.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from wigeonpier.policy.freshness import may_judge, may_refuse_unknown_key
+from wigeonpier.policy.freshness import may_authorize, may_refuse_unknown_key
 
 if TYPE_CHECKING:
     from wigeonpier.served import (
@@ -81,6 +81,6 @@
         return Identity(
             Verdict.unknown_key if is_certain else Verdict.unsure,
         )
-    if not may_judge(knowledge.age, knowledge.bound):
+    if not may_authorize(knowledge.age, knowledge.bound):
         return Identity(Verdict.unsure)
     return Identity(Verdict.admitted, customer)
--- a/tests/hosted/test_proofs.py
+++ b/tests/hosted/test_proofs.py
@@ -115,7 +115,7 @@
             # The process may stall before it checks the request.
             world.pass_time()
             knows_key = configuration.revision == OLD
-            may_run = knows_key and freshness.may_judge(
+            may_run = knows_key and freshness.may_authorize(
                 entry.measure().age,
                 BOUND,
             )
