--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -15,7 +15,7 @@
 from gevent.event import Event as Signal
 
 from wigeonpier.loops import spawn_loop
-from wigeonpier.policy.outage import may_have_lapsed
+from wigeonpier.policy.outage import may_have_expired
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 
@@ -130,7 +130,7 @@
 
     def _record_return(self, now: float) -> None:
         lost_seconds = now - self._failed_at
-        if may_have_lapsed(lost_seconds):
+        if may_have_expired(lost_seconds):
             self.regained_at = now
         self._unreachable.clear()
         # A watch that was requested during the outage may never be answered:
--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -17,7 +17,7 @@
     name_replica,
 )
 from wigeonpier.policy.incarnation import comes_after, is_earlier
-from wigeonpier.policy.outage import is_picture_old
+from wigeonpier.policy.outage import is_view_outdated
 from wigeonpier.policy.ranking import choose_subset
 from wigeonpier.policy.route import (
     UpstreamState,
@@ -124,7 +124,7 @@
     @property
     def is_outdated(self) -> bool:
         """Check whether the register probably lacks live upstreams."""
-        return is_picture_old(time.monotonic() - self._replaced_at)
+        return is_view_outdated(time.monotonic() - self._replaced_at)
 
     def _choose_routed(self) -> list[UpstreamState]:
         by_service: defaultdict[str, list[str]] = defaultdict(list)
--- a/src/wigeonpier/policy/outage.py
+++ b/src/wigeonpier/policy/outage.py
@@ -49,7 +49,7 @@
     keep: float
 
     @property
-    def longest_blind(self) -> float:
+    def max_blind_seconds(self) -> float:
         """Return the longest time from the end of an outage to an answer."""
         return self.call + self.pause
 
@@ -69,7 +69,7 @@
     )
 
 
-def is_picture_old(since_replaced: float) -> bool:
+def is_view_outdated(since_replaced: float) -> bool:
     """Check whether missing upstreams have most probably restarted already.
 
     After a power loss, replicas run before their entries are written: of 70
@@ -83,7 +83,7 @@
     return since_replaced < REWRITE_SECONDS
 
 
-def may_have_lapsed(lost_seconds: float) -> bool:
+def may_have_expired(lost_seconds: float) -> bool:
     """Check whether entries may have expired though their replicas are healthy.
 
     :param lost_seconds: from the start of the first failed call to the first
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -31,7 +31,7 @@
 
 
 def test_first_answer_wakes_all_views(site: HostedSite) -> None:
-    """Changes during the outage are known within ``longest_blind``.
+    """Changes during the outage are known within ``max_blind_seconds``.
 
     When each view paused by itself, it was outdated for up to 0.9 s, and for
     7.5 s after its pause had doubled to 5 s.
@@ -49,7 +49,7 @@
         'the register is read again',
     )
     plan = entry._common.contact.plan
-    assert time.monotonic() - returned_at < plan.longest_blind + 0.2
+    assert time.monotonic() - returned_at < plan.max_blind_seconds + 0.2
 
 
 def test_replica_removed_during_outage_is_dropped_in_time(
@@ -252,4 +252,4 @@
     wait_for(lambda: not contact.is_lost, 'the return is known')
     site.replicas[0].register('suva-a')
     wait_for(lambda: entry._replicas.upstreams, 'the next change is applied')
-    assert time.monotonic() - returned_at < contact.plan.longest_blind + 0.5
+    assert time.monotonic() - returned_at < contact.plan.max_blind_seconds + 0.5
--- a/tests/policy/test_outage.py
+++ b/tests/policy/test_outage.py
@@ -8,7 +8,7 @@
 from wigeonpier.models import Bounds
 from wigeonpier.policy.outage import (
     REWRITE_SECONDS,
-    may_have_lapsed,
+    may_have_expired,
     plan_outage,
 )
 
@@ -19,7 +19,7 @@
     assert plan.call > 0
     assert plan.pause > 0
     assert plan.keep >= 0
-    assert plan.longest_blind + plan.keep < contact
+    assert plan.max_blind_seconds + plan.keep < contact
 
 
 def test_expired_entries_have_time_to_be_written_again() -> None:
@@ -28,5 +28,5 @@
 
 
 def test_single_lost_call_is_no_outage() -> None:
-    assert not may_have_lapsed(0.3)
-    assert may_have_lapsed(2.0)
+    assert not may_have_expired(0.3)
+    assert may_have_expired(2.0)
