--- a/src/wigeonpier/hosted/reach.py
+++ b/src/wigeonpier/hosted/reach.py
@@ -45,12 +45,12 @@
             return
         silent_seconds = time.monotonic() - self._last_contact_at
         if (
-            isolation.is_suspicious(silent_seconds)
+            isolation.should_probe_store(silent_seconds)
             and not self._contact.is_lost
         ):
             # Without a call an unreachable store is not detected.
             self._contact.ask()
-        is_cut_off = isolation.is_cut_off(
+        is_cut_off = isolation.is_isolated(
             time.monotonic() - self._last_contact_at,
             has_store=not self._contact.is_lost,
         )
--- a/src/wigeonpier/policy/isolation.py
+++ b/src/wigeonpier/policy/isolation.py
@@ -15,12 +15,12 @@
 
 # The worker of each upstream reports its load at least each 0.5 s, even if
 # unchanged, so two such lines of all upstreams are missing then.
-SILENT_SECONDS = 1.0
+ISOLATION_SECONDS = 1.0
 # Leaves time to probe the store before the process counts as isolated.
 PROBE_SECONDS = 0.6
 
 
-def is_suspicious(silent: float) -> bool:
+def should_probe_store(silent: float) -> bool:
     """Decide whether to probe the store.
 
     :param silent: seconds since the last report of any upstream.
@@ -29,11 +29,11 @@
     return silent >= PROBE_SECONDS
 
 
-def is_cut_off(silent: float, *, has_store: bool) -> bool:
+def is_isolated(silent: float, *, has_store: bool) -> bool:
     """Decide whether a process is isolated.
 
     :param silent: seconds since the last report of any upstream.
     :param has_store: whether the store answers.
     :returns: true where neither the store nor an upstream is reached.
     """
-    return not has_store and silent >= SILENT_SECONDS
+    return not has_store and silent >= ISOLATION_SECONDS
