--- a/src/wigeonpier/hosted/acceptance.py
+++ b/src/wigeonpier/hosted/acceptance.py
@@ -16,7 +16,7 @@
 from wigeonpier.models import OpenJob
 from wigeonpier.platform.port import Failure
 from wigeonpier.policy.matching import draw_service
-from wigeonpier.policy.placement import NOBODY, deal_items
+from wigeonpier.policy.placement import UNASSIGNED, assign_items
 from wigeonpier.policy.quota import may_take_blindly
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -147,7 +147,7 @@
         if not self._has_room(board, job):
             return self._find_existing(job)
         open_job = self._make_open_job(job)
-        owners = deal_items(
+        owners = assign_items(
             job.name,
             len(job.items),
             board.list_members(open_job.service),
@@ -201,7 +201,7 @@
             retention=job.route.retention,
             tries=job.route.tries,
             tokens=job.tokens,
-            owners=(NOBODY,) * len(job.items),
+            owners=(UNASSIGNED,) * len(job.items),
             customer=job.customer,
             priority=job.priority,
         )
--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -15,7 +15,7 @@
 
 from wigeonpier.loops import spawn_loop
 from wigeonpier.platform import places
-from wigeonpier.policy.placement import NOBODY, move_items
+from wigeonpier.policy.placement import UNASSIGNED, reassign_items
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 
@@ -64,9 +64,11 @@
     def _apply(self, change: Change) -> None:
         name = change.key.removeprefix(places.MEMBERS)
         if change.value is not None:
-            if NOBODY not in self._pending:
-                self._pending.add(NOBODY)
-                gevent.spawn_later(RETURN_SECONDS, self._reassign_items, NOBODY)
+            if UNASSIGNED not in self._pending:
+                self._pending.add(UNASSIGNED)
+                gevent.spawn_later(
+                    RETURN_SECONDS, self._reassign_items, UNASSIGNED
+                )
             return
         if name not in self._pending:
             self._pending.add(name)
@@ -119,7 +121,7 @@
         members = board.list_members(job.service)
         if not [member for member in members if member.name != lost]:
             return True
-        owners = move_items(
+        owners = reassign_items(
             job,
             lost,
             members,
--- a/src/wigeonpier/hosted/intake.py
+++ b/src/wigeonpier/hosted/intake.py
@@ -23,7 +23,7 @@
 from wigeonpier.loops import spawn_loop
 from wigeonpier.models import HeldJob
 from wigeonpier.platform.port import Failure
-from wigeonpier.policy.placement import deal_items
+from wigeonpier.policy.placement import assign_items
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.web.messages import Request, Response
@@ -126,7 +126,7 @@
         if isinstance(read, Err):
             return False
         board = read.ok_value
-        owners = deal_items(
+        owners = assign_items(
             name,
             len(disk_job.items),
             board.list_members(disk_job.job.service),
--- a/src/wigeonpier/policy/placement.py
+++ b/src/wigeonpier/policy/placement.py
@@ -24,10 +24,10 @@
 # wakes four of 28 processes, each of which costs a call to the store.
 ITEMS_PER_ASSIGNMENT = 3
 # Owner of items that no process runs yet.
-NOBODY = '-'
+UNASSIGNED = '-'
 
 
-def deal_items(
+def assign_items(
     job: str,
     count: int,
     members: list[Member],
@@ -41,10 +41,10 @@
     :param members: processes that run items of its service.
     :param jobs: jobs with items left.
     :param now: seconds of the wall clock.
-    :returns: owners by position; ``NOBODY`` where there are no members.
+    :returns: owners by position; ``UNASSIGNED`` where there are no members.
     """
     if not members:
-        return (NOBODY,) * count
+        return (UNASSIGNED,) * count
     names = rank_by_key([member.name for member in members], job)
     load = _measure_load(names, jobs, now)
     owners: list[str] = []
@@ -55,7 +55,7 @@
     return tuple(owners[:count])
 
 
-def move_items(
+def reassign_items(
     job: OpenJob,
     lost: str,
     members: list[Member],
@@ -73,7 +73,7 @@
     """
     lost_items = sum(owner == lost for owner in job.owners)
     others = [member for member in members if member.name != lost]
-    new_owners = iter(deal_items(job.name, lost_items, others, jobs, now))
+    new_owners = iter(assign_items(job.name, lost_items, others, jobs, now))
     return tuple(
         next(new_owners) if owner == lost else owner for owner in job.owners
     )
