--- a/src/wigeonpier/hosted/acceptance.py
+++ b/src/wigeonpier/hosted/acceptance.py
@@ -17,7 +17,7 @@
 from wigeonpier.platform.port import Failure
 from wigeonpier.policy.matching import draw_service
 from wigeonpier.policy.placement import UNASSIGNED, assign_items
-from wigeonpier.policy.quota import may_take_blindly
+from wigeonpier.policy.quota import may_accept_unchecked
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 
@@ -178,7 +178,7 @@
     def _try_disks(self, job: SubmittedJob) -> DiskWrite:
         """Store a job on the disks since the store does not accept it now."""
         waiting = _sum_tokens(self._holder.board, job)
-        if not may_take_blindly(
+        if not may_accept_unchecked(
             waiting,
             self._disk_tokens[job.account],
             job.tokens,
--- a/src/wigeonpier/policy/quota.py
+++ b/src/wigeonpier/policy/quota.py
@@ -11,7 +11,7 @@
 UNCHECKED_SHARE = 0.5
 
 
-def may_take_blindly(
+def may_accept_unchecked(
     known: int, accepted: int, tokens: int, limit: int
 ) -> bool:
     """Decide whether a job is accepted without a fresh count.
