--- a/src/wigeonpier/hosted/acceptance.py
+++ b/src/wigeonpier/hosted/acceptance.py
@@ -15,7 +15,7 @@
 from wigeonpier.hosted.holder import DiskWrite
 from wigeonpier.models import OpenJob
 from wigeonpier.platform.port import Failure
-from wigeonpier.policy.matching import draw_service
+from wigeonpier.policy.matching import choose_service
 from wigeonpier.policy.placement import UNASSIGNED, assign_items
 from wigeonpier.policy.quota import may_accept_unchecked
 from wigeonpier.telemetry.events import Event
@@ -195,7 +195,7 @@
             name=job.name,
             route=job.route.name,
             host=job.host,
-            service=draw_service(job.route, self._rng),
+            service=choose_service(job.route, self._rng),
             sent_at=time.time(),
             run_objective=job.route.run_objective,
             retention=job.route.retention,
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -17,7 +17,7 @@
 )
 from wigeonpier.hosted.question import Question
 from wigeonpier.platform import ingress
-from wigeonpier.policy.matching import draw_service
+from wigeonpier.policy.matching import choose_service
 from wigeonpier.policy.route import record_outcome
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -112,7 +112,7 @@
             request=arrival.request,
             head=arrival.head,
             route=route,
-            service=draw_service(route, self._rng),
+            service=choose_service(route, self._rng),
             body=arrival.request.read_body(),
             began_at=now,
             give_up_at=now + min(timeout, route.timeout),
--- a/src/wigeonpier/policy/matching.py
+++ b/src/wigeonpier/policy/matching.py
@@ -33,7 +33,7 @@
     return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
-def draw_service(route: ServedRoute, rng: random.Random) -> str:
+def choose_service(route: ServedRoute, rng: random.Random) -> str:
     """Choose the service of a request at random by the route's weights.
 
     :param route: the route.
--- a/tests/policy/test_matching.py
+++ b/tests/policy/test_matching.py
@@ -10,7 +10,7 @@
 
 from tests.hosted.builders import HOST, make_configuration, make_route_entry
 from wigeonpier.platform.operator import decode_configuration
-from wigeonpier.policy.matching import draw_service, match_route
+from wigeonpier.policy.matching import choose_service, match_route
 
 
 def build(*prefixes: str):
@@ -35,10 +35,10 @@
 def test_services_are_chosen_by_weight() -> None:
     route = replace(build('/a/').routes[0], services=(('x', 90.0), ('y', 10.0)))
     rng = random.Random(1)
-    chosen = Counter(draw_service(route, rng) for _ in range(1000))
+    chosen = Counter(choose_service(route, rng) for _ in range(1000))
     assert 850 < chosen['x'] < 950
 
 
 def test_first_service_is_chosen_if_all_weights_are_zero() -> None:
     route = replace(build('/a/').routes[0], services=(('x', 0.0), ('y', 0.0)))
-    assert draw_service(route, random.Random(1)) == 'x'
+    assert choose_service(route, random.Random(1)) == 'x'
