--- a/src/wigeonpier/hosted/progress.py
+++ b/src/wigeonpier/hosted/progress.py
@@ -10,7 +10,7 @@
 
 from wigeonpier.loops import spawn_loop
 from wigeonpier.models import ItemProgress
-from wigeonpier.policy.progress import is_worth_keeping
+from wigeonpier.policy.progress import should_save_progress
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 
@@ -68,7 +68,7 @@
             work
             for work in self._work.values()
             if len(work.texts) - work.saved_events >= MIN_NEW_EVENTS
-            and is_worth_keeping(
+            and should_save_progress(
                 work.due_at - now, run_seconds, SAVE_INTERVAL_SECONDS
             )
         )
--- a/src/wigeonpier/policy/progress.py
+++ b/src/wigeonpier/policy/progress.py
@@ -14,7 +14,7 @@
 PLANNED_RUNS = 1.5
 
 
-def is_worth_keeping(
+def should_save_progress(
     seconds_left: float,
     run_seconds: float,
     pause: float,
--- a/tests/policy/test_progress.py
+++ b/tests/policy/test_progress.py
@@ -4,7 +4,7 @@
 
 import random
 
-from wigeonpier.policy.progress import TAKEOVER_SECONDS, is_worth_keeping
+from wigeonpier.policy.progress import TAKEOVER_SECONDS, should_save_progress
 
 RUN_SECONDS = 4.0
 DUE_SECONDS = 18.0
@@ -12,13 +12,13 @@
 
 
 def test_items_that_can_run_again_in_time_are_not_saved() -> None:
-    assert not is_worth_keeping(DUE_SECONDS, RUN_SECONDS, SAVE_SECONDS)
-    assert is_worth_keeping(
+    assert not should_save_progress(DUE_SECONDS, RUN_SECONDS, SAVE_SECONDS)
+    assert should_save_progress(
         TAKEOVER_SECONDS + RUN_SECONDS,
         RUN_SECONDS,
         SAVE_SECONDS,
     )
-    assert is_worth_keeping(-1, RUN_SECONDS, SAVE_SECONDS)
+    assert should_save_progress(-1, RUN_SECONDS, SAVE_SECONDS)
 
 
 def test_loss_at_any_time_makes_no_item_late() -> None:
@@ -34,7 +34,7 @@
         while check_at < lost_after:
             checks += 1
             seconds_left = DUE_SECONDS - started_at - check_at
-            if is_worth_keeping(seconds_left, RUN_SECONDS, SAVE_SECONDS):
+            if should_save_progress(seconds_left, RUN_SECONDS, SAVE_SECONDS):
                 saved = check_at
                 saves += 1
             check_at += SAVE_SECONDS
@@ -53,4 +53,4 @@
 def test_item_that_starts_at_once_is_never_saved() -> None:
     for check_at in range(int(RUN_SECONDS)):
         seconds_left = DUE_SECONDS - check_at
-        assert not is_worth_keeping(seconds_left, RUN_SECONDS, SAVE_SECONDS)
+        assert not should_save_progress(seconds_left, RUN_SECONDS, SAVE_SECONDS)
