--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -8,7 +8,7 @@
 
 from wigeonpier.hosted.failures import SendFailure
 from wigeonpier.policy.fingerprint import digest_request
-from wigeonpier.policy.silence import limit_silence
+from wigeonpier.policy.silence import choose_read_timeout
 from wigeonpier.policy.waiting import QueueTime
 
 if TYPE_CHECKING:
@@ -144,13 +144,13 @@
         lost = SendFailure.lost.value
         return sum(send.outcome == lost for send in self.sends)
 
-    def limit_silence(self, *, has_events: bool) -> float:
+    def choose_read_timeout(self, *, has_events: bool) -> float:
         """Limit how long the next byte of the response is waited for.
 
         :param has_events: whether an event of the current send has arrived.
         :returns: seconds.
         """
-        return limit_silence(
+        return choose_read_timeout(
             self.seconds_left,
             may_go_elsewhere=self.may_run_again,
             has_events=has_events,
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -177,7 +177,7 @@
         while True:
             try:
                 event = reader.read(
-                    question.limit_silence(has_events=has_events),
+                    question.choose_read_timeout(has_events=has_events),
                 )
             except OSError as error:
                 return classify_disconnect(error)
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -206,7 +206,7 @@
 
         :raises QueueLeftError: when the request is to leave this upstream.
         """
-        limit = question.limit_silence(has_events=False)
+        limit = question.choose_read_timeout(has_events=False)
         began = time.monotonic()
         exchange.write(_encode(question, upstream), limit)
         timeout = question.route.objective * waiting.MIN_QUEUE_SHARE
--- a/src/wigeonpier/policy/silence.py
+++ b/src/wigeonpier/policy/silence.py
@@ -16,7 +16,7 @@
 MIN_SECONDS = 0.01
 
 
-def limit_silence(
+def choose_read_timeout(
     seconds_left: float,
     *,
     may_go_elsewhere: bool,
