--- a/src/wigeonpier/entry/limits.py
+++ b/src/wigeonpier/entry/limits.py
@@ -24,10 +24,10 @@
     Exhausted,
     OwnedAccount,
     RateLimit,
-    admission_chance,
+    admission_probability,
     decide,
-    limit_alone,
     open_account,
+    share_limit,
 )
 from wigeonpier.policy.window import Window, spend, sum_spent
 from wigeonpier.telemetry.events import Event
@@ -318,10 +318,10 @@
         """Admit this entry's equal share while the owner does not answer."""
         now = self.clock()
         entries = self.fleet.count_entries()
-        share = limit_alone(limit, entries)
+        share = share_limit(limit, entries)
         if account.fallback is None:
             account.fallback = open_account(share, now)
-        if self.rng.random() >= admission_chance(limit, entries):
+        if self.rng.random() >= admission_probability(limit, entries):
             return Decision(Exhausted.requests, share.window_seconds)
         admitted = account.list_admitted(now)
         admitted.pop(UNATTRIBUTED, None)
--- a/src/wigeonpier/policy/ratelimit.py
+++ b/src/wigeonpier/policy/ratelimit.py
@@ -196,7 +196,7 @@
     return Decision(exhausted, wait, is_tight, total)
 
 
-def limit_alone(limit: RateLimit, entries: int) -> RateLimit:
+def share_limit(limit: RateLimit, entries: int) -> RateLimit:
     """Compute what one entry may admit while the owner is unreachable.
 
     :param limit: limits of the customer over all entries.
@@ -211,7 +211,7 @@
     )
 
 
-def admission_chance(limit: RateLimit, entries: int) -> float:
+def admission_probability(limit: RateLimit, entries: int) -> float:
     """Compute the probability of admission if a share is below one request.
 
     Entries that each admitted their first request would together exceed the
