--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -14,7 +14,12 @@
 from wigeonpier.errors import ErrorKind, Ran, Refusal
 from wigeonpier.invariants import Promise, check_promise
 from wigeonpier.policy.fingerprint import digest_request
-from wigeonpier.policy.retry import Fate, RetryBudget, Try, may_retry
+from wigeonpier.policy.retry import (
+    ExecutionState,
+    FailedAttempt,
+    RetryBudget,
+    may_retry,
+)
 from wigeonpier.policy.route import (
     RoutingCriteria,
     choose_upstream,
@@ -106,11 +111,11 @@
 class RefusedAttempt:
     """A failed attempt and the answer that it would give the caller.
 
-    :param fate: whether the request may have run.
+    :param execution_state: whether the request may have run.
     :param refusal: answer to the caller if this is the last attempt.
     """
 
-    fate: Fate
+    execution_state: ExecutionState
     refusal: Refusal
 
 
@@ -265,7 +270,9 @@
             return Err(_classify_failure(CallFailure.lost))
         if reply.status >= SERVER_ERROR or reply.status == OVERLOAD_STATUS:
             failure = _classify_refusal(reply)
-            record_outcome(state, failure.fate is Fate.not_run, now)
+            record_outcome(
+                state, failure.execution_state is ExecutionState.not_run, now
+            )
             return Err(failure)
         record_outcome(state, went_well=True, now=now)
         return Ok(reply)
@@ -389,14 +396,15 @@
         state: UpstreamState,
         failure: RefusedAttempt,
     ) -> None:
-        last = Try(
+        last = FailedAttempt(
             pending.attempts,
-            failure.fate,
+            failure.execution_state,
             pending.is_idempotent,
             pending.seconds_left,
         )
         pending.may_have_run = (
-            pending.may_have_run or failure.fate is Fate.may_have_run
+            pending.may_have_run
+            or failure.execution_state is ExecutionState.may_have_run
         )
         if failure.refusal.kind is ErrorKind.upstream_lost:
             # If this request crashed the upstream, it would crash the next
@@ -465,11 +473,11 @@
 def _classify_failure(failure: CallFailure) -> RefusedAttempt:
     if failure is CallFailure.not_sent:
         return RefusedAttempt(
-            Fate.not_run,
+            ExecutionState.not_run,
             Refusal(ErrorKind.no_upstream, 'the upstream cannot be reached'),
         )
     return RefusedAttempt(
-        Fate.may_have_run,
+        ExecutionState.may_have_run,
         Refusal(ErrorKind.upstream_lost, 'the upstream was lost'),
     )
 
@@ -489,8 +497,12 @@
         )
     finally:
         reply.close()
-    fate = Fate.not_run if refusal.ran is Ran.no else Fate.may_have_run
-    return RefusedAttempt(fate, refusal)
+    execution_state = (
+        ExecutionState.not_run
+        if refusal.ran is Ran.no
+        else ExecutionState.may_have_run
+    )
+    return RefusedAttempt(execution_state, refusal)
 
 
 def _render_error(refusal: Refusal) -> bytes:
--- a/src/wigeonpier/policy/retry.py
+++ b/src/wigeonpier/policy/retry.py
@@ -10,7 +10,7 @@
 MAX_BUDGET = 10.0
 
 
-class Fate(StrEnum):
+class ExecutionState(StrEnum):
     """What is known of an attempt without a good answer."""
 
     not_run = 'not_run'
@@ -36,22 +36,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class FailedAttempt:
     """A failed attempt.
 
     :param number: 1 for the first.
-    :param fate: what is known of it.
+    :param execution_state: what is known of it.
     :param idempotent: whether the request may run more than once.
     :param seconds_left: until the request's deadline.
     """
 
     number: int
-    fate: Fate
+    execution_state: ExecutionState
     idempotent: bool
     seconds_left: float
 
 
-def may_retry(last: Try, budget: RetryBudget) -> bool:
+def may_retry(last: FailedAttempt, budget: RetryBudget) -> bool:
     """Decide whether to try another upstream.
 
     :param last: the failed attempt.
@@ -60,6 +60,9 @@
     """
     if last.number >= MAX_ATTEMPTS or last.seconds_left <= 0:
         return False
-    if last.fate is Fate.may_have_run and not last.idempotent:
+    if (
+        last.execution_state is ExecutionState.may_have_run
+        and not last.idempotent
+    ):
         return False
     return budget.tokens >= 1
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -8,9 +8,9 @@
 from wigeonpier.policy.retry import (
     BUDGET_PER_REQUEST,
     MAX_BUDGET,
-    Fate,
+    ExecutionState,
+    FailedAttempt,
     RetryBudget,
-    Try,
     may_retry,
 )
 
@@ -21,8 +21,11 @@
     seconds,
     tokens,
 ) -> None:
-    last = Try(
-        number, Fate.may_have_run, idempotent=False, seconds_left=seconds
+    last = FailedAttempt(
+        number,
+        ExecutionState.may_have_run,
+        idempotent=False,
+        seconds_left=seconds,
     )
     assert not may_retry(last, RetryBudget(tokens))
 
@@ -33,7 +36,9 @@
     retries = 0
     for failed in failures:
         budget.record_request()
-        last = Try(1, Fate.not_run, idempotent=True, seconds_left=1)
+        last = FailedAttempt(
+            1, ExecutionState.not_run, idempotent=True, seconds_left=1
+        )
         if failed and may_retry(last, budget):
             budget.record_retry()
             retries += 1
@@ -41,5 +46,7 @@
 
 
 def test_no_retry_after_the_deadline() -> None:
-    last = Try(1, Fate.not_run, idempotent=True, seconds_left=0)
+    last = FailedAttempt(
+        1, ExecutionState.not_run, idempotent=True, seconds_left=0
+    )
     assert not may_retry(last, RetryBudget())
