--- a/src/wigeonpier/bench/quotamodel.py
+++ b/src/wigeonpier/bench/quotamodel.py
@@ -17,7 +17,7 @@
     DEMAND_SECONDS,
     UNSEEN_SECONDS,
     Limit,
-    Use,
+    UsageCount,
     estimate_admission,
 )
 
@@ -146,7 +146,7 @@
 def limit_by_counts(world: World, now: float, entry: int) -> bool:
     """Admit while the counts that were told leave room."""
     use = _look(world, now, entry)
-    return use.told + use.unseen < world.scene.limit.requests
+    return use.reported + use.unseen < world.scene.limit.requests
 
 
 def limit_by_rate(world: World, now: float, entry: int) -> bool:
@@ -157,7 +157,7 @@
     elsewhere -= world.by_entry[entry].count(since, until)
     use = _look(world, now, entry)
     unseen = elsewhere / DEMAND_SECONDS * UNSEEN_SECONDS
-    return use.told + use.unseen + unseen < world.scene.limit.requests
+    return use.reported + use.unseen + unseen < world.scene.limit.requests
 
 
 def limit_carefully(world: World, now: float, entry: int) -> bool:
@@ -290,13 +290,13 @@
     return admitted
 
 
-def _look(world: World, now: float, entry: int) -> Use:
+def _look(world: World, now: float, entry: int) -> UsageCount:
     """See what the entry sees: others late, its own requests at once."""
     told_until = now - world.draw.uniform(*LAG_SECONDS)
     own = world.by_entry[entry]
     demand = world.asked[entry].count(now - DEMAND_SECONDS, now)
-    return Use(
-        told=world.admitted.count(now - SPAN_SECONDS, told_until),
+    return UsageCount(
+        reported=world.admitted.count(now - SPAN_SECONDS, told_until),
         unseen=own.count(now - UNSEEN_SECONDS, now),
         own=own.count(now - SPAN_SECONDS, now),
         demand=demand / DEMAND_SECONDS,
--- a/src/wigeonpier/hosted/customeruse.py
+++ b/src/wigeonpier/hosted/customeruse.py
@@ -157,7 +157,7 @@
                 request=request,
                 customer=customer.name,
                 limit=limit.requests,
-                told=use.told,
+                told=use.reported,
                 unseen=use.unseen,
                 own=use.own,
                 demand=use.demand,
@@ -290,11 +290,11 @@
         spend(account.unseen, count, now)
         self._unreported[name] += count
 
-    def _measure(self, account: Account, now: float) -> allowance.Use:
+    def _measure(self, account: Account, now: float) -> allowance.UsageCount:
         own = sum_spent(account.own, now)
         # Without a counter, only the requests of this entry are known.
         reported = max(own, sum_spent(account.reported, now))
-        return allowance.Use(
+        return allowance.UsageCount(
             reported,
             sum_spent(account.unseen, now),
             own,
--- a/src/wigeonpier/policy/allowance.py
+++ b/src/wigeonpier/policy/allowance.py
@@ -66,10 +66,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class UsageCount:
     """What an entry knows of a customer's requests.
 
-    :param told: requests of all entries in the span, as reported.
+    :param reported: requests of all entries in the span, as reported.
     :param unseen: requests of this entry that the report may lack.
     :param own: requests of this entry in the span.
     :param demand: requests a second that arrived here recently, including
@@ -77,14 +77,14 @@
     :param certainty: share of the span that the reports cover, from 0 to 1.
     """
 
-    told: float
+    reported: float
     unseen: float
     own: float
     demand: float
     certainty: float = 1
 
 
-def estimate_admission(limit: Limit, use: Use) -> float:
+def estimate_admission(limit: Limit, use: UsageCount) -> float:
     """Estimate the probability with which to admit a request.
 
     :param limit: limit of the customer.
@@ -92,7 +92,7 @@
     :returns: from 0 to 1.
     """
     allowed = _limit_requests(limit, use.certainty)
-    room = max(1, allowed) - use.told - use.unseen
+    room = max(1, allowed) - use.reported - use.unseen
     if room <= 0:
         return 0
     if room >= allowed * UNRESTRICTED_SHARE:
@@ -101,10 +101,10 @@
     return 1 if expected <= room else room / expected
 
 
-def _estimate_own_share(limit: Limit, use: Use) -> float:
+def _estimate_own_share(limit: Limit, use: UsageCount) -> float:
     """Estimate the share of the customer's requests that reaches this entry."""
     own = use.own + 1
-    return own / max(own, use.told + ASSUMED_SHARE * limit.requests)
+    return own / max(own, use.reported + ASSUMED_SHARE * limit.requests)
 
 
 def _limit_requests(limit: Limit, certainty: float) -> float:
