--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -19,7 +19,7 @@
     JournalEndedError,
     JournalWriter,
 )
-from wigeonpier.invariants import Promise, check_promise
+from wigeonpier.invariants import Invariant, check_invariant
 from wigeonpier.platform.certain import swap_certainly
 from wigeonpier.platform.keys import name_chunk
 from wigeonpier.platform.port import Failure as PlatformFailure
@@ -143,14 +143,14 @@
         """
         ledger = self.ledgers[item.index]
         label = f'{self.name} item {item.index}'
-        check_promise(
+        check_invariant(
             item.is_idempotent or not (ledger.losses or ledger.is_open),
-            Promise.runs_at_most_once,
+            Invariant.runs_at_most_once,
             f'{label} is started again',
         )
-        check_promise(
+        check_invariant(
             ledger.outcome is None,
-            Promise.exactly_one_result,
+            Invariant.exactly_one_result,
             f'{label} already has a result',
         )
         self.write(Begin(item.index, alone))
@@ -193,9 +193,9 @@
 
         :returns: the claim's revision, or why it could not be written.
         """
-        check_promise(
+        check_invariant(
             self.is_settled,
-            Promise.exactly_one_result,
+            Invariant.exactly_one_result,
             f'{self.name} is finished but some items have no result',
         )
         done = msgspec.structs.replace(
--- a/src/wigeonpier/batch/results.py
+++ b/src/wigeonpier/batch/results.py
@@ -10,7 +10,7 @@
 from wigeonpier.batch.records import decode_records
 from wigeonpier.disk.client import DiskClient, read_first
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.invariants import Promise, check_promise
+from wigeonpier.invariants import Invariant, check_invariant
 from wigeonpier.records import Outcome, Status
 
 if TYPE_CHECKING:
@@ -135,15 +135,15 @@
     outcomes: dict[int, Outcome] = {}
     for record in decode_records(segment_lines):
         if isinstance(record, Outcome):
-            check_promise(
+            check_invariant(
                 record.item not in outcomes,
-                Promise.exactly_one_result,
+                Invariant.exactly_one_result,
                 f'{name} item {record.item} has two results',
             )
             outcomes.setdefault(record.item, record)
-    check_promise(
+    check_invariant(
         len(outcomes) == items,
-        Promise.exactly_one_result,
+        Invariant.exactly_one_result,
         f'{name} has {len(outcomes)} results for {items} items',
     )
     return [outcomes[index] for index in sorted(outcomes)]
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -28,7 +28,7 @@
 from wigeonpier.batch.results import name_kept_results
 from wigeonpier.batch.takeover import claim_chunk, open_chunk
 from wigeonpier.disk.client import write_all_copies
-from wigeonpier.invariants import Promise, check_promise
+from wigeonpier.invariants import Invariant, check_invariant
 from wigeonpier.loops import spawn_loop
 from wigeonpier.platform import keys
 from wigeonpier.platform.certain import swap_certainly
@@ -164,9 +164,9 @@
         claims: dict[int, Claim],
     ) -> None:
         job = msgspec.structs.replace(cached.job, status=status)
-        check_promise(
+        check_invariant(
             all(claim.is_done for claim in claims.values()),
-            Promise.exactly_one_result,
+            Invariant.exactly_one_result,
             f'{job.id} was finalized with unfinished chunks',
         )
         finished = FinishedJob(
--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from wigeonpier.errors import ErrorKind, Ran, Refusal
-from wigeonpier.invariants import Promise, check_promise
+from wigeonpier.invariants import Invariant, check_invariant
 from wigeonpier.policy.fingerprint import digest_request
 from wigeonpier.policy.retry import (
     ExecutionState,
@@ -199,9 +199,9 @@
                 ErrorKind.no_upstream,
                 'no upstream of the service takes work now',
             )
-        check_promise(
+        check_invariant(
             state.name not in self.directory.leaving_vms,
-            Promise.leaving_gets_no_work,
+            Invariant.leaving_gets_no_work,
             state.name,
         )
         return state
@@ -213,9 +213,9 @@
     ) -> Result[Response, RefusedAttempt]:
         pending.attempts += 1
         self._record_added_latency(pending)
-        check_promise(
+        check_invariant(
             pending.is_idempotent or not pending.may_have_run,
-            Promise.runs_at_most_once,
+            Invariant.runs_at_most_once,
             pending.request.identity,
         )
         state.in_flight += 1
@@ -260,9 +260,9 @@
         reply = opened.ok_value
         identity = pending.request.identity
         echoed = reply.get_header(headers.REQUEST_ID)
-        check_promise(
+        check_invariant(
             echoed == identity,
-            Promise.whole_answer_to_its_caller,
+            Invariant.whole_answer_to_its_caller,
             f'{identity} got the answer to {echoed}',
         )
         if echoed != identity:
@@ -435,9 +435,9 @@
             ran=Ran.unknown,
             retry_after=refusal.retry_after,
         )
-    check_promise(
+    check_invariant(
         refusal.ran is not Ran.no or not pending.may_have_run,
-        Promise.refused_means_not_run,
+        Invariant.refused_means_not_run,
         pending.request.identity,
     )
     return refusal
--- a/src/wigeonpier/invariants.py
+++ b/src/wigeonpier/invariants.py
@@ -16,7 +16,7 @@
 STRICT_VARIABLE = 'WIGEONPIER_STRICT'
 
 
-class Promise(StrEnum):
+class Invariant(StrEnum):
     """Invariants that the system guarantees at all times."""
 
     exactly_one_result = 'exactly_one_result'
@@ -30,11 +30,11 @@
     configuration_never_reverts = 'configuration_never_reverts'
 
 
-class BrokenPromiseError(AssertionError):
+class InvariantError(AssertionError):
     """An invariant was violated while checks are strict."""
 
 
-violations: Counter[Promise] = Counter()
+violations: Counter[Invariant] = Counter()
 
 
 def is_strict() -> bool:
@@ -45,17 +45,17 @@
     return os.environ.get(STRICT_VARIABLE) == '1'
 
 
-def check_promise(holds: bool, promise: Promise, detail: str) -> None:
+def check_invariant(holds: bool, invariant: Invariant, detail: str) -> None:
     """Record a violation, and raise where checks are strict.
 
     :param holds: whether the invariant holds.
-    :param promise: the invariant that is checked.
+    :param invariant: the invariant that is checked.
     :param detail: description of the violation, for the log.
-    :raises BrokenPromiseError: when it does not hold and checks are strict.
+    :raises InvariantError: when it does not hold and checks are strict.
     """
     if holds:
         return
-    violations[promise] += 1
-    log_event(Event.promise_broken, promise=promise.value, detail=detail)
+    violations[invariant] += 1
+    log_event(Event.promise_broken, promise=invariant.value, detail=detail)
     if is_strict():
-        raise BrokenPromiseError(f'{promise.value}: {detail}')
+        raise InvariantError(f'{invariant.value}: {detail}')
--- a/src/wigeonpier/local/gate.py
+++ b/src/wigeonpier/local/gate.py
@@ -11,7 +11,7 @@
 from gevent.event import Event as Signal
 
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.invariants import Promise, check_promise
+from wigeonpier.invariants import Invariant, check_invariant
 from wigeonpier.policy import gate as policy
 from wigeonpier.settings.deployment import GateKind
 from wigeonpier.telemetry.events import Event
@@ -125,9 +125,9 @@
 
         :param stream: the stream.
         """
-        check_promise(
+        check_invariant(
             not self._waiting,
-            Promise.no_blocking_behind_batch,
+            Invariant.no_blocking_behind_batch,
             'batch work starts while online work waits',
         )
         stream.is_stopped = False
--- a/src/wigeonpier/local/work.py
+++ b/src/wigeonpier/local/work.py
@@ -15,9 +15,9 @@
 from wigeonpier.batch.journal import JournalEndedError
 from wigeonpier.batch.models import CHAT_PATH, TEXT_PATH, Job
 from wigeonpier.invariants import (
-    BrokenPromiseError,
-    Promise,
-    check_promise,
+    Invariant,
+    InvariantError,
+    check_invariant,
 )
 from wigeonpier.local.engine import Engine, Run, RunEnd, prepare_body
 from wigeonpier.local.gate import BatchStream, Gate
@@ -202,7 +202,7 @@
         except JournalEndedError:
             # The chunk may have a newer owner, so nothing more is written.
             active.chunk.is_lost = True
-        except BrokenPromiseError:
+        except InvariantError:
             raise
         except Exception:
             # The chunk would wait for this item forever, so another owner
@@ -220,9 +220,9 @@
             # The job was cancelled between the spawn and the start of this
             # greenlet.
             return
-        check_promise(
+        check_invariant(
             chunk.job.id not in self.stock.cancelled_jobs,
-            Promise.cancelled_job_stops,
+            Invariant.cancelled_job_stops,
             f'{chunk.name} starts an item of a cancelled job',
         )
         started_at = time.monotonic()
--- a/src/wigeonpier/loops.py
+++ b/src/wigeonpier/loops.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from wigeonpier.invariants import BrokenPromiseError
+from wigeonpier.invariants import InvariantError
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 
@@ -36,7 +36,7 @@
     while True:
         try:
             step()
-        except BrokenPromiseError:
+        except InvariantError:
             raise
         except Exception:
             log_event(
--- a/src/wigeonpier/process.py
+++ b/src/wigeonpier/process.py
@@ -18,7 +18,7 @@
 from wigeonpier.disk.client import DiskClient
 from wigeonpier.disk.folder import DataFolder, read_monotonic_clock
 from wigeonpier.disk.routes import make_disk_routes
-from wigeonpier.invariants import Promise, check_promise, violations
+from wigeonpier.invariants import Invariant, check_invariant, violations
 from wigeonpier.membership.messages import DiskReport
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.platform.gateway import GatewayPlatform
@@ -259,9 +259,9 @@
 def _drain(program: str, drain_seconds: float, app: App) -> int:
     log_event(Event.process_leaving, program=program)
     left = app.leave(drain_seconds)
-    check_promise(
+    check_invariant(
         not left,
-        Promise.shutdown_cuts_nothing,
+        Invariant.shutdown_cuts_nothing,
         f'{left} in progress at the end of the drain time',
     )
     if left:
--- a/src/wigeonpier/settings/holder.py
+++ b/src/wigeonpier/settings/holder.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.invariants import Promise, check_promise
+from wigeonpier.invariants import Invariant, check_invariant
 from wigeonpier.settings.deployment import Bundle, Deployment, make_effective
 from wigeonpier.settings.document import DocumentError
 from wigeonpier.telemetry.events import Event
@@ -90,9 +90,9 @@
         raw: bytes,
         deployment: Deployment,
     ) -> None:
-        check_promise(
+        check_invariant(
             bundle.version > self.version,
-            Promise.configuration_never_reverts,
+            Invariant.configuration_never_reverts,
             f'{self.version} would become {bundle.version}',
         )
         self.bundle = bundle
--- a/src/wigeonpier/web/filters.py
+++ b/src/wigeonpier/web/filters.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.invariants import BrokenPromiseError
+from wigeonpier.invariants import InvariantError
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.telemetry.trace import HEADER, make_record, start_span
@@ -71,13 +71,13 @@
     :param request: the request.
     :param following: the next handler.
     :returns: the response.
-    :raises BrokenPromiseError: if an invariant does not hold.
+    :raises InvariantError: if an invariant does not hold.
     """
     try:
         return following(request)
     except Refusal as refusal:
         return answer_refusal(refusal)
-    except BrokenPromiseError:
+    except InvariantError:
         raise
     except Exception:
         log_event(
--- a/tests/local/test_work.py
+++ b/tests/local/test_work.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from wigeonpier.invariants import Promise, violations
+from wigeonpier.invariants import Invariant, violations
 from wigeonpier.local.chunks import OwnedChunks
 from wigeonpier.local.gate import Gate
 from wigeonpier.local.work import Worker
@@ -51,9 +51,9 @@
     item = SimpleNamespace(index=0, is_idempotent=True)
     worker._spawn(chunk, item, alone=False)
     owned_chunks.stop_jobs(('j',))
-    before = violations[Promise.cancelled_job_stops]
+    before = violations[Invariant.cancelled_job_stops]
     gevent.sleep(0.05)
-    assert violations[Promise.cancelled_job_stops] == before
+    assert violations[Invariant.cancelled_job_stops] == before
     assert not chunk.started
     assert not worker._running
     assert not worker.gate.batch
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -10,23 +10,23 @@
 import wigeonpier
 from wigeonpier.invariants import (
     STRICT_VARIABLE,
-    BrokenPromiseError,
-    Promise,
-    check_promise,
+    Invariant,
+    InvariantError,
+    check_invariant,
     violations,
 )
 
 
-@pytest.mark.parametrize('promise', list(Promise))
-def test_violation_is_counted_and_raised(promise, monkeypatch) -> None:
-    check_promise(True, promise, 'holds')
+@pytest.mark.parametrize('invariant', list(Invariant))
+def test_violation_is_counted_and_raised(invariant, monkeypatch) -> None:
+    check_invariant(True, invariant, 'holds')
     assert not violations
     monkeypatch.setenv(STRICT_VARIABLE, '1')
-    with pytest.raises(BrokenPromiseError, match=promise.value):
-        check_promise(False, promise, 'does not')
+    with pytest.raises(InvariantError, match=invariant.value):
+        check_invariant(False, invariant, 'does not')
     monkeypatch.setenv(STRICT_VARIABLE, '0')
-    check_promise(False, promise, 'does not')
-    assert violations[promise] == 2
+    check_invariant(False, invariant, 'does not')
+    assert violations[invariant] == 2
 
 
 def test_each_invariant_is_checked_somewhere() -> None:
@@ -36,5 +36,5 @@
         for path in folder.rglob('*.py')
         if path.name != 'invariants.py'
     ]
-    checked = set(re.findall(r'Promise\.(\w+)', '\n'.join(sources)))
-    assert checked == {promise.name for promise in Promise}
+    checked = set(re.findall(r'Invariant\.(\w+)', '\n'.join(sources)))
+    assert checked == {invariant.name for invariant in Invariant}
