--- a/src/wigeonpier/bench/site.py
+++ b/src/wigeonpier/bench/site.py
@@ -190,7 +190,7 @@
         """
         app = self.find_entry().app
         application = Application(
-            app.parts.holder.version,
+            app.components.holder.version,
             secrets.token_hex(8),
             'site',
             base,
--- a/src/wigeonpier/bench/trouble.py
+++ b/src/wigeonpier/bench/trouble.py
@@ -92,7 +92,7 @@
 
     def fill_disk(self) -> Undo:
         """Make writes to a data folder fail as on a full disk."""
-        folder = self._choose_entry().app.parts.folder
+        folder = self._choose_entry().app.components.folder
         if folder is None:
             return _do_nothing
         setattr(folder, APPEND_METHOD, _refuse_write)
--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -43,8 +43,8 @@
 from wigeonpier.platform.view import PrefixView
 from wigeonpier.policy.attempts import Bounds
 from wigeonpier.process import (
-    Parts,
-    build_parts,
+    Components,
+    build_components,
     make_common_routes,
     make_disk_client,
 )
@@ -83,7 +83,7 @@
 class EntryApp:
     """All components of one entry process.
 
-    :param parts: components that both daemons have.
+    :param components: components that both daemons have.
     :param directory: view of the fleet.
     :param disks: reaches data folders.
     :param board: jobs that are not finished.
@@ -100,7 +100,7 @@
     :param grace_seconds: how long new requests are accepted while leaving.
     """
 
-    parts: Parts
+    components: Components
     directory: Directory
     disks: DiskClient
     board: JobBoard
@@ -121,8 +121,8 @@
 
         :returns: address for callers.
         """
-        self.parts.address = self.server.address
-        self.parts.holder.listen(self.key_ring.load)
+        self.components.address = self.server.address
+        self.components.holder.listen(self.key_ring.load)
         self.heartbeat_sender.on_reply = self._handle_reply
         for view in self.views:
             view.start()
@@ -142,7 +142,7 @@
         :returns: number of requests still in flight.
         """
         deadline = time.monotonic() + seconds
-        self.parts.is_leaving = True
+        self.components.is_leaving = True
         self.server.is_closing = True
         self.heartbeat_sender.send_soon()
         gevent.sleep(min(self.grace_seconds, seconds))
@@ -152,7 +152,7 @@
 
     def _handle_reply(self, reply: HeartbeatReply) -> None:
         self.directory.add_lost_folders(reply.gone)
-        self.parts.suspicions.merge(reply.suspicions)
+        self.components.suspicions.merge(reply.suspicions)
         self.limits.record_peer_usage(reply.address, reply.usage)
 
 
@@ -166,76 +166,76 @@
     :param make_caller: makes the connections to peers and the platform.
     :returns: the process; nothing is started yet.
     """
-    parts = build_parts(settings, make_caller)
+    components = build_components(settings, make_caller)
     clock = time.monotonic
-    directory = Directory(clock, lambda name: _find_region(parts, name))
+    directory = Directory(clock, lambda name: _find_region(components, name))
     disks = make_disk_client(
-        parts.caller,
+        components.caller,
         lambda: _index_disks(directory),
     )
     board = JobBoard(
         clock,
-        lambda: _list_weights(parts),
+        lambda: _list_weights(components),
         directory.list_entries,
     )
     job_handler = JobHandler(
-        parts.platform,
+        components.platform,
         board,
         lambda file_id: _read_on_disks(directory, disks, file_id),
     )
     key_ring = KeyRing()
     heartbeat_sender = HeartbeatSender(
-        parts.caller,
-        parts.holder,
+        components.caller,
+        components.holder,
         settings.entries,
         ENTRY_FAN_OUT,
-        lambda: _describe(parts, limits),
-        parts.platform.list_vms,
+        lambda: _describe(components, limits),
+        components.platform.list_vms,
     )
     limits = CustomerLimits(
         clock,
-        make_fleet(parts, directory, heartbeat_sender),
-        parts.draw,
-        parts.boot,
+        make_fleet(components, directory, heartbeat_sender),
+        components.draw,
+        components.start_id,
     )
     forwarder = Forwarder(
         directory,
-        parts.caller,
-        parts.metrics,
-        parts.draw,
-        SuspectFilter(parts.suspicions, parts.caller),
+        components.caller,
+        components.metrics,
+        components.draw,
+        SuspectFilter(components.suspicions, components.caller),
     )
     online = OnlineHandler(
-        parts.holder,
+        components.holder,
         forwarder,
         limits,
-        OnlineResends(parts.platform),
+        OnlineResends(components.platform),
         settings.data_centre,
     )
-    files = FileHandler(parts.holder, job_handler, disks, directory)
+    files = FileHandler(components.holder, job_handler, disks, directory)
     peers = PeerHandler(
-        parts.holder,
+        components.holder,
         directory,
         board,
         limits,
-        parts.caller,
-        parts.suspicions,
+        components.caller,
+        components.suspicions,
     )
-    server = _build_server(parts, key_ring, online, files, peers)
-    configuration = ConfigurationHandler(parts.platform, parts.holder)
+    server = _build_server(components, key_ring, online, files, peers)
+    configuration = ConfigurationHandler(components.platform, components.holder)
     board.address = server.address
     admin = _build_admin(
-        parts, AdminHandler(configuration, directory, job_handler)
+        components, AdminHandler(configuration, directory, job_handler)
     )
     finalizer = JobFinalizer(
         board,
         directory,
         disks,
-        lambda: _make_workshop(parts, disks, directory),
+        lambda: _make_workshop(components, disks, directory),
         server.address,
     )
     return EntryApp(
-        parts=parts,
+        components=components,
         directory=directory,
         disks=disks,
         board=board,
@@ -245,8 +245,10 @@
         configuration=configuration,
         heartbeat_sender=heartbeat_sender,
         finalizer=finalizer,
-        copies=CopyRepairer(parts.platform, disks, directory, server.address),
-        views=_make_views(parts, board),
+        copies=CopyRepairer(
+            components.platform, disks, directory, server.address
+        ),
+        views=_make_views(components, board),
         server=server,
         admin=admin,
         grace_seconds=settings.grace_seconds,
@@ -254,7 +256,7 @@
 
 
 def _build_server(
-    parts: Parts,
+    components: Components,
     key_ring: KeyRing,
     online: OnlineHandler,
     files: FileHandler,
@@ -276,12 +278,12 @@
         make_route('POST', HEARTBEAT_PATH, peers.handle_heartbeat),
         make_route('GET', CONFIGURATION_PATH, peers.show_configuration),
         make_route('POST', LIMIT_PATH, peers.decide_limit),
-        make_exchange_route(parts.suspicions),
-        *make_common_routes(parts),
+        make_exchange_route(components.suspicions),
+        *make_common_routes(components),
     ]
-    settings = parts.settings
+    settings = components.settings
     filters = [
-        trace_requests('entry', parts.export, parts.metrics),
+        trace_requests('entry', components.export, components.metrics),
         answer_errors,
         limit_bodies(DEFAULT_BODY_LIMIT_BYTES),
         require_peer_key(settings.peer_keys, PEER_PATHS),
@@ -291,10 +293,10 @@
     return Server(host, port, chain_filters(filters, dispatch_to(routes)))
 
 
-def _build_admin(parts: Parts, handler: AdminHandler) -> Server:
-    settings = parts.settings
+def _build_admin(components: Components, handler: AdminHandler) -> Server:
+    settings = components.settings
     filters = [
-        trace_requests('admin', parts.export, parts.metrics),
+        trace_requests('admin', components.export, components.metrics),
         answer_errors,
         limit_bodies(DEFAULT_BODY_LIMIT_BYTES),
         require_peer_key(settings.peer_keys, ADMIN_PATHS),
@@ -308,12 +310,14 @@
     )
 
 
-def _make_views(parts: Parts, board: JobBoard) -> tuple[PrefixView, ...]:
-    platform, rng = parts.platform, parts.draw
+def _make_views(
+    components: Components, board: JobBoard
+) -> tuple[PrefixView, ...]:
+    platform, rng = components.platform, components.draw
 
     def note_configuration(change: Change) -> None:
         if change.value is not None:
-            parts.holder.adopt(change.value)
+            components.holder.adopt(change.value)
 
     return (
         PrefixView(platform, keys.CONFIGURATION, note_configuration, rng),
@@ -323,48 +327,48 @@
 
 
 def _make_workshop(
-    parts: Parts,
+    components: Components,
     disks: DiskClient,
     directory: Directory,
 ) -> Workshop:
-    batch = parts.holder.deployment.batch
+    batch = components.holder.deployment.batch
     return Workshop(
-        platform=parts.platform,
+        platform=components.platform,
         disks=disks,
         list_disks=directory.list_disks,
         is_gone=lambda copy: copy in directory.list_lost_folders(),
-        owner=parts.settings.name,
+        owner=components.settings.name,
         copies=batch.copies,
         least_copies=batch.least_copies,
         bounds=Bounds(batch.attempts, batch.lone_losses),
     )
 
 
-def _describe(parts: Parts, limits: CustomerLimits) -> Heartbeat:
+def _describe(components: Components, limits: CustomerLimits) -> Heartbeat:
     return Heartbeat(
-        name=parts.settings.name,
-        boot=parts.boot,
+        name=components.settings.name,
+        boot=components.start_id,
         role=Role.entry,
-        address=parts.address,
-        data_centre=parts.settings.data_centre,
-        is_leaving=parts.is_leaving,
-        version=parts.holder.version,
-        disk=parts.report_disk(),
+        address=components.address,
+        data_centre=components.settings.data_centre,
+        is_leaving=components.is_leaving,
+        version=components.holder.version,
+        disk=components.report_disk(),
         usage=limits.report(),
-        suspicions=parts.suspicions.summarize(),
+        suspicions=components.suspicions.summarize(),
     )
 
 
 def _record_itself(app: EntryApp) -> None:
     """Add this entry to its own view of the fleet, without a call."""
-    app.directory.record_heartbeat(_describe(app.parts, app.limits))
+    app.directory.record_heartbeat(_describe(app.components, app.limits))
     app.heartbeat_sender.add_entries(app.directory.list_entries())
     gevent.sleep(SELF_REPORT_SECONDS)
 
 
 def _report_tokens(app: EntryApp) -> None:
     gevent.sleep(TOKEN_REPORT_SECONDS)
-    holder = app.parts.holder
+    holder = app.components.holder
     if holder.version:
         customers = holder.deployment.customers
         app.limits.report_tokens(
@@ -373,7 +377,7 @@
 
 
 def _update_vms(app: EntryApp) -> None:
-    listed = app.parts.platform.list_vms()
+    listed = app.components.platform.list_vms()
     if listed.is_ok():
         app.directory.update_vms(listed.unwrap())
     app.limits.remove_entries(set(app.directory.list_entries()))
@@ -397,15 +401,15 @@
     return read_first(reachable, lambda copy: disks.read_page(copy, file_id, 0))
 
 
-def _find_region(parts: Parts, data_centre: str) -> str:
-    if not parts.holder.version:
+def _find_region(components: Components, data_centre: str) -> str:
+    if not components.holder.version:
         return ''
-    described = parts.holder.deployment.data_centres.get(data_centre)
+    described = components.holder.deployment.data_centres.get(data_centre)
     return described.region if described else ''
 
 
-def _list_weights(parts: Parts) -> dict[str, float]:
+def _list_weights(components: Components) -> dict[str, float]:
     return {
         name: customer.weight
-        for name, customer in parts.holder.deployment.customers.items()
+        for name, customer in components.holder.deployment.customers.items()
     }
--- a/src/wigeonpier/entry/limitcalls.py
+++ b/src/wigeonpier/entry/limitcalls.py
@@ -16,7 +16,7 @@
     from wigeonpier.membership.directory import Directory
     from wigeonpier.membership.messages import LimitCall
     from wigeonpier.membership.reporter import HeartbeatSender
-    from wigeonpier.process import Parts
+    from wigeonpier.process import Components
 
 LIMIT_PATH = '/peer/v1/limit'
 # The caller's request waits for this call before it is forwarded.
@@ -24,13 +24,13 @@
 
 
 def make_fleet(
-    parts: Parts,
+    components: Components,
     directory: Directory,
     heartbeat_sender: HeartbeatSender,
 ) -> Fleet:
     """Make the access of the limits to the other entries.
 
-    :param parts: address of this entry and its connections.
+    :param components: address of this entry and its connections.
     :param directory: entries that have sent heartbeats.
     :param heartbeat_sender: entries that are known from replies and settings.
     :returns: the access.
@@ -46,10 +46,12 @@
 
     def count_entries() -> int:
         known = directory.list_entries()
-        return len({*known, *heartbeat_sender.peers.entries, parts.address})
+        return len(
+            {*known, *heartbeat_sender.peers.entries, components.address}
+        )
 
     def call_owner(owner: str, call: LimitCall) -> LimitAnswer | None:
-        called = parts.caller.call(
+        called = components.caller.call(
             owner,
             'POST',
             LIMIT_PATH,
@@ -64,4 +66,6 @@
             log_event(Event.limit_unreadable, entry=owner, why=str(error))
             return None
 
-    return Fleet(lambda: parts.address, list_entries, count_entries, call_owner)
+    return Fleet(
+        lambda: components.address, list_entries, count_entries, call_owner
+    )
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -26,8 +26,8 @@
 from wigeonpier.policy.attempts import Bounds
 from wigeonpier.policy.copies import Disk
 from wigeonpier.process import (
-    Parts,
-    build_parts,
+    Components,
+    build_components,
     make_common_routes,
     make_disk_client,
 )
@@ -65,7 +65,7 @@
 class LocalApp:
     """Components of one local process.
 
-    :param parts: components that all daemons have.
+    :param components: components that all daemons have.
     :param gate: admission control for the upstream.
     :param watch: monitors the health of the upstream.
     :param worker: owns chunks and runs their items.
@@ -73,7 +73,7 @@
     :param server: server for requests of peers.
     """
 
-    parts: Parts
+    components: Components
     gate: Gate
     watch: UpstreamWatch
     worker: Worker
@@ -85,8 +85,8 @@
 
         :returns: address of the server.
         """
-        self.parts.address = self.server.address
-        self.parts.holder.listen(self._apply_deployment)
+        self.components.address = self.server.address
+        self.components.holder.listen(self._apply_deployment)
         self.watch.start()
         self.watch.on_change = self.heartbeat_sender.send_soon
         self.worker.on_queue_low = self.heartbeat_sender.send_soon
@@ -103,7 +103,7 @@
         :returns: number of requests in flight and chunks not released.
         """
         deadline = time.monotonic() + seconds
-        self.parts.is_leaving = True
+        self.components.is_leaving = True
         self.gate.is_open = False
         self.heartbeat_sender.send_heartbeats()
         unreleased = self.worker.leave(seconds)
@@ -111,18 +111,20 @@
         return in_flight + unreleased
 
     def _apply_deployment(self, deployment: Deployment) -> None:
-        service = deployment.services.get(_get_settings(self.parts).service)
+        service = deployment.services.get(
+            _get_settings(self.components).service
+        )
         if service is not None:
             self.gate.target_seconds = service.between_tokens_ms / MILLISECONDS
             self.gate.kind = service.gate
             self.gate.batch_streams = service.batch_streams
         batch = deployment.batch
         self.worker.stock.context = Workshop(
-            platform=self.parts.platform,
+            platform=self.components.platform,
             disks=self.worker.stock.context.disks,
             list_disks=self.worker.stock.context.list_disks,
             is_gone=self.worker.stock.context.is_gone,
-            owner=self.parts.settings.name,
+            owner=self.components.settings.name,
             copies=batch.copies,
             least_copies=batch.least_copies,
             bounds=Bounds(batch.attempts, batch.lone_losses),
@@ -131,7 +133,7 @@
     def _handle_reply(self, reply: HeartbeatReply) -> None:
         self.worker.stock.claim_offers(reply.offers)
         self.worker.stock.stop_jobs(reply.stopped)
-        self.parts.suspicions.merge(reply.suspicions)
+        self.components.suspicions.merge(reply.suspicions)
 
 
 def build_local(
@@ -144,21 +146,21 @@
     :param make_caller: creates the client for peers and the platform.
     :returns: the process, not started.
     """
-    parts = build_parts(settings, make_caller)
+    components = build_components(settings, make_caller)
     upstream = HttpCaller()
     gate = Gate()
     watch = UpstreamWatch(
         upstream,
         settings.upstream,
-        lambda: _find_service_kind(parts),
+        lambda: _find_service_kind(components),
     )
     heartbeat_sender = HeartbeatSender(
-        parts.caller,
-        parts.holder,
+        components.caller,
+        components.holder,
         settings.entries,
         FAN_OUT,
-        lambda: _make_heartbeat(parts, gate, watch, worker),
-        parts.platform.list_vms,
+        lambda: _make_heartbeat(components, gate, watch, worker),
+        components.platform.list_vms,
     )
     worker = Worker(
         gate,
@@ -166,38 +168,38 @@
             upstream,
             settings.upstream,
             gate,
-            parts.metrics,
+            components.metrics,
             settings.service,
         ),
         watch,
-        OwnedChunks(_make_chunk_context(parts, heartbeat_sender)),
-        parts.metrics,
+        OwnedChunks(_make_chunk_context(components, heartbeat_sender)),
+        components.metrics,
     )
     path = OnlinePath(
         gate,
         upstream,
         settings.upstream,
-        parts.metrics,
+        components.metrics,
         settings.service,
         LocalSuspects(
-            f'{settings.name}/{parts.boot}',
+            f'{settings.name}/{components.start_id}',
             settings.upstream,
-            parts.suspicions,
+            components.suspicions,
             CrashDetector(ConnectionPool()),
             heartbeat_sender.send_soon,
         ),
     )
     return LocalApp(
-        parts,
+        components,
         gate,
         watch,
         worker,
         heartbeat_sender,
-        _build_server(parts, path),
+        _build_server(components, path),
     )
 
 
-def _build_server(parts: Parts, path: OnlinePath) -> Server:
+def _build_server(components: Components, path: OnlinePath) -> Server:
     def complete(request: Request) -> Response:
         return answer_online(path, request, request.path)
 
@@ -214,21 +216,21 @@
     routes = [
         make_route('POST', '/v1/(?:chat/)?completions', complete),
         make_route('*', '/services/([^/]+)(/.*)?', call_service),
-        make_exchange_route(parts.suspicions),
-        *make_common_routes(parts),
+        make_exchange_route(components.suspicions),
+        *make_common_routes(components),
     ]
     filters = [
-        trace_requests('local', parts.export, parts.metrics),
+        trace_requests('local', components.export, components.metrics),
         answer_errors,
         limit_bodies(BODY_LIMIT),
-        require_peer_key(parts.settings.peer_keys, PROTECTED_PATHS),
+        require_peer_key(components.settings.peer_keys, PROTECTED_PATHS),
     ]
-    host, port = split_address(parts.settings.listen)
+    host, port = split_address(components.settings.listen)
     return Server(host, port, chain_filters(filters, dispatch_to(routes)))
 
 
 def _make_chunk_context(
-    parts: Parts, heartbeat_sender: HeartbeatSender
+    components: Components, heartbeat_sender: HeartbeatSender
 ) -> Workshop:
     def list_disks() -> list[Disk]:
         return [
@@ -242,14 +244,14 @@
         ]
 
     return Workshop(
-        platform=parts.platform,
+        platform=components.platform,
         disks=make_disk_client(
-            parts.caller,
+            components.caller,
             lambda: heartbeat_sender.peers.disks,
         ),
         list_disks=list_disks,
         is_gone=lambda copy: copy in heartbeat_sender.peers.gone,
-        owner=parts.settings.name,
+        owner=components.settings.name,
         copies=1,
         least_copies=1,
         bounds=Bounds(1, 1),
@@ -257,44 +259,44 @@
 
 
 def _make_heartbeat(
-    parts: Parts,
+    components: Components,
     gate: Gate,
     watch: UpstreamWatch,
     worker: Worker,
 ) -> Heartbeat:
     return Heartbeat(
-        name=parts.settings.name,
-        boot=parts.boot,
+        name=components.settings.name,
+        boot=components.start_id,
         role=Role.local,
-        address=parts.address,
-        data_centre=parts.settings.data_centre,
-        is_leaving=parts.is_leaving,
-        version=parts.holder.version,
+        address=components.address,
+        data_centre=components.settings.data_centre,
+        is_leaving=components.is_leaving,
+        version=components.holder.version,
         upstream=UpstreamReport(
-            service=_get_settings(parts).service,
+            service=_get_settings(components).service,
             models=watch.models,
             slots=gate.slots,
             online=gate.online + gate.waiting,
             batch=len(gate.batch),
             is_well=watch.is_healthy,
         ),
-        disk=parts.report_disk(),
+        disk=components.report_disk(),
         wants=worker.count_wanted(),
         held=worker.stock.list_owned_jobs(),
-        suspicions=parts.suspicions.summarize(),
+        suspicions=components.suspicions.summarize(),
     )
 
 
-def _get_settings(parts: Parts) -> LocalSettings:
-    settings = parts.settings
+def _get_settings(components: Components) -> LocalSettings:
+    settings = components.settings
     if not isinstance(settings, LocalSettings):
         raise TypeError('settings of a local process must be LocalSettings')
     return settings
 
 
-def _find_service_kind(parts: Parts) -> ServiceKind:
-    if not parts.holder.version:
+def _find_service_kind(components: Components) -> ServiceKind:
+    if not components.holder.version:
         return ServiceKind.model
-    services = parts.holder.deployment.services
-    service = services.get(_get_settings(parts).service)
+    services = components.holder.deployment.services
+    service = services.get(_get_settings(components).service)
     return service.kind if service else ServiceKind.model
--- a/src/wigeonpier/process.py
+++ b/src/wigeonpier/process.py
@@ -61,11 +61,11 @@
 
 
 @dataclass(slots=True)
-class Parts:
+class Components:
     """Components that both daemons have.
 
     :param settings: settings of the process.
-    :param boot: random id of this start.
+    :param start_id: random id of this start.
     :param metrics: metrics of the process.
     :param caller: connections to peers; sends the peer key.
     :param platform: port to the platform.
@@ -79,7 +79,7 @@
     """
 
     settings: ProcessSettings
-    boot: str
+    start_id: str
     metrics: Metrics
     caller: HttpCaller
     platform: Platform
@@ -107,10 +107,10 @@
         )
 
 
-def build_parts(
+def build_components(
     settings: ProcessSettings,
     make_caller: Callable[[dict[str, str]], HttpCaller] = HttpCaller,
-) -> Parts:
+) -> Components:
     """Build the components that both daemons have.
 
     :param settings: settings of the process.
@@ -120,9 +120,9 @@
     folder = None
     if settings.data_folder:
         folder = DataFolder(settings.data_folder, read_monotonic_clock)
-    return Parts(
+    return Components(
         settings=settings,
-        boot=secrets.token_hex(BOOT_ID_BYTES),
+        start_id=secrets.token_hex(BOOT_ID_BYTES),
         metrics=Metrics(),
         caller=make_caller({PEER_KEY: settings.peer_keys[0]}),
         platform=GatewayPlatform(make_caller({}), settings.platform),
@@ -162,28 +162,28 @@
     return DiskClient(caller, find_address)
 
 
-def make_common_routes(parts: Parts) -> list[Route]:
+def make_common_routes(components: Components) -> list[Route]:
     """List the routes that every daemon has.
 
-    :param parts: components of the daemon.
+    :param components: components of the daemon.
     :returns: routes of the status pages, and of the data folder where there
         is one.
     """
     routes = make_page_routes(
         lambda: HealthPage(
-            parts.settings.name,
-            parts.holder.version,
+            components.settings.name,
+            components.holder.version,
             violations.total(),
         ),
-        lambda: bool(parts.holder.version) and not parts.is_leaving,
-        parts.metrics,
+        lambda: bool(components.holder.version) and not components.is_leaving,
+        components.metrics,
     )
-    parts.metrics.add_gauge(
+    components.metrics.add_gauge(
         'peer_bytes_total',
-        lambda: parts.caller.bytes_moved,
+        lambda: components.caller.bytes_moved,
     )
-    if parts.folder is not None:
-        routes += make_disk_routes(parts.folder)
+    if components.folder is not None:
+        routes += make_disk_routes(components.folder)
     return routes
 
 
--- a/tests/features/steps/batch_steps.py
+++ b/tests/features/steps/batch_steps.py
@@ -140,15 +140,15 @@
     site = context.bench.site
     name = f'entry-{number}'
     (site.folder / name).rename(site.folder / f'{name}-old')
-    old = site.entries[name].app.parts.folder.incarnation
+    old = site.entries[name].app.components.folder.incarnation
     site.add_entry(name)
-    assert site.entries[name].app.parts.folder.incarnation != old
+    assert site.entries[name].app.components.folder.incarnation != old
 
 
 @when('the data folder of entry {number:d} is full')
 def fill_folder(context: Context, number: int) -> None:
     wait_for(lambda: _find_busy_owner(context.bench))
-    folder = context.bench.site.entries[f'entry-{number}'].app.parts.folder
+    folder = context.bench.site.entries[f'entry-{number}'].app.components.folder
 
     def append(*_details: Any) -> int:
         raise OSError(errno.ENOSPC, 'No space left on device')
@@ -158,7 +158,7 @@
 
 @when('each forced write takes {delay:d} ms on one data folder')
 def slow_folder(context: Context, delay: int) -> None:
-    folder = context.bench.site.entries['entry-1'].app.parts.folder
+    folder = context.bench.site.entries['entry-1'].app.components.folder
     append = folder.append
 
     def append_slowly(*details: Any) -> int:
@@ -486,7 +486,8 @@
 
 def _have_all_copies(site: Any, count: int) -> bool:
     present = {
-        entry.app.parts.folder.incarnation for entry in site.entries.values()
+        entry.app.components.folder.incarnation
+        for entry in site.entries.values()
     }
     copies = []
     for key, cell in site.platform.cells.items():
@@ -516,7 +517,7 @@
         service='netlist-llm',
         idempotent=False,
     )
-    context.write_result = site.find_entry().app.parts.platform.swap(
+    context.write_result = site.find_entry().app.components.platform.swap(
         name_job(job.customer, job.id),
         msgspec.json.encode(job),
         0,
@@ -630,7 +631,7 @@
 
 @when('a claim is stored before its job')
 def write_early_claim(context: Context) -> None:
-    platform = context.bench.site.find_entry().app.parts.platform
+    platform = context.bench.site.find_entry().app.components.platform
     context.early_claim = name_chunk('batch_early', 0)
     platform.swap(
         context.early_claim,
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -43,7 +43,7 @@
 @when('two operators apply different changes of the same version at once')
 def apply_at_once(context: Context) -> None:
     bench = context.bench
-    edited = bench.site.find_entry().app.parts.holder.version
+    edited = bench.site.find_entry().app.components.holder.version
     requests = [
         gevent.spawn(
             _apply,
@@ -64,7 +64,7 @@
     bench = context.bench
     context.accepted = []
     for number in range(count):
-        edited = bench.site.find_entry().app.parts.holder.version
+        edited = bench.site.find_entry().app.components.holder.version
         reply = _apply(bench, edited, number % 2, 100 + number, 'operator')
         assert reply.is_good, reply
         context.accepted.append(msgspec.json.decode(reply.body)['version'])
@@ -75,7 +75,7 @@
 @when('a change is applied and its operation is sent again')
 def apply_again(context: Context) -> None:
     bench = context.bench
-    edited = bench.site.find_entry().app.parts.holder.version
+    edited = bench.site.find_entry().app.components.holder.version
     context.replies = [
         _apply(bench, edited, entry_index, 80, 'operator', 'the-operation')
         for entry_index in (0, 1)
@@ -104,7 +104,7 @@
 def apply_broken(context: Context, name: str) -> None:
     bench = context.bench
     entry = bench.site.find_entry()
-    bench.notes['version'] = entry.app.parts.holder.version
+    bench.notes['version'] = entry.app.components.holder.version
     overlay = {'services': {SERVICE: {'deadline_seconds': 'soon'}}}
     context.reply = _post(
         entry,
@@ -225,7 +225,7 @@
 
 def _list_holders(bench: Bench) -> list[Any]:
     processes = (*bench.site.entries.values(), *bench.site.replicas.values())
-    return [process.app.parts.holder for process in processes]
+    return [process.app.components.holder for process in processes]
 
 
 def _all_versions(bench: Bench) -> set[int]:
--- a/tests/features/steps/online_steps.py
+++ b/tests/features/steps/online_steps.py
@@ -45,7 +45,7 @@
     version = site.apply(base, {})
     wait_for(
         lambda: all(
-            entry.app.parts.holder.version == version
+            entry.app.components.holder.version == version
             for entry in site.entries.values()
         ),
     )
