--- a/src/wigeonpier/cli/servedcheck.py
+++ b/src/wigeonpier/cli/servedcheck.py
@@ -42,6 +42,6 @@
     routes = len(found.routes)
     write_line(f'version {found.version}: {routes} routes')
     write_line(f'{len(names)} customers, {len(found.customers or {})} keys')
-    for warning in found.oddities:
+    for warning in found.warnings:
         write_line(warning)
-    return WARNING_STATUS if found.oddities else 0
+    return WARNING_STATUS if found.warnings else 0
--- a/src/wigeonpier/hosted/configuration.py
+++ b/src/wigeonpier/hosted/configuration.py
@@ -68,7 +68,7 @@
         if self.current is not None and found.version <= self.current.version:
             return
         self.current = found
-        for warning in found.oddities:
+        for warning in found.warnings:
             log_event(
                 Event.configuration_odd,
                 version=found.version,
--- a/src/wigeonpier/served.py
+++ b/src/wigeonpier/served.py
@@ -88,11 +88,11 @@
     :param routes: all routes.
     :param body_limit: maximum bytes of a body.
     :param customers: customers by key, ``None`` where no key is needed.
-    :param oddities: descriptions of entries that look like mistakes.
+    :param warnings: descriptions of entries that look like mistakes.
     """
 
     version: int
     routes: tuple[ServedRoute, ...]
     body_limit: int
     customers: Mapping[str, ServedCustomer] | None = None
-    oddities: tuple[str, ...] = ()
+    warnings: tuple[str, ...] = ()
--- a/tests/platform/test_operator.py
+++ b/tests/platform/test_operator.py
@@ -28,7 +28,7 @@
         'k2': first,
         'k3': ServedCustomer('b'),
     }
-    assert not found.oddities
+    assert not found.warnings
 
 
 def test_a_configuration_without_customers_needs_no_key() -> None:
@@ -47,8 +47,8 @@
     assert found.customers['secret'].name == 'a'
     assert found.customers['k2'].name == 'b'
     assert 'k3' not in found.customers
-    assert len(found.oddities) == 3
-    assert 'secret' not in str(found.oddities)
+    assert len(found.warnings) == 3
+    assert 'secret' not in str(found.warnings)
 
 
 def test_encoded_configuration_is_decoded_unchanged() -> None:
