--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -53,7 +53,7 @@
     from wigeonpier.hosted.board import Board
     from wigeonpier.hosted.common import Common
     from wigeonpier.membership.news import SuspicionUpdate
-    from wigeonpier.models import QuestionLoad
+    from wigeonpier.models import OnlineLoad
     from wigeonpier.web.messages import Request
 
 # The balancer probes once a second and removes a process after two failures.
@@ -255,7 +255,7 @@
         )
         return QuestionSender(binder, common.pool)
 
-    def _record_load(self, host: str, load: QuestionLoad) -> None:
+    def _record_load(self, host: str, load: OnlineLoad) -> None:
         self._reach.note_contact()
         self._relays.note(host, has_store=load.has_store)
         self._limiter.record_contact(host)
--- a/src/wigeonpier/hosted/loadfeed.py
+++ b/src/wigeonpier/hosted/loadfeed.py
@@ -17,7 +17,7 @@
 
 from wigeonpier.hosted.news import FeedLine
 from wigeonpier.loops import spawn_loop
-from wigeonpier.models import QuestionLoad
+from wigeonpier.models import OnlineLoad
 from wigeonpier.web.messages import JSON_LINES_TYPE, Request, Response
 from wigeonpier.web.server import Route, make_route
 
@@ -77,20 +77,20 @@
         """
         return [make_route('GET', LOAD_PATH, self._answer)]
 
-    def measure(self) -> QuestionLoad:
+    def measure(self) -> OnlineLoad:
         """Measure the load without batch items that requests may preempt.
 
         :returns: the load.
         """
         report = self._upstream.report
         if report is None:
-            return QuestionLoad(
+            return OnlineLoad(
                 0,
                 takes_work=False,
                 has_store=not self._contact.is_lost,
             )
         total = report.running + report.waiting
-        return QuestionLoad(
+        return OnlineLoad(
             max(0, total - self._runner.count_yielding()),
             takes_work=not report.is_leaving,
             incarnation=report.incarnation,
@@ -107,7 +107,7 @@
         self._followers -= 1
 
     def _iterate(self) -> Iterator[bytes]:
-        sent: QuestionLoad | None = None
+        sent: OnlineLoad | None = None
         sent_at: float = 0
         position = 0
         first_report = self._usage.describe_all()
--- a/src/wigeonpier/hosted/loadfollower.py
+++ b/src/wigeonpier/hosted/loadfollower.py
@@ -27,7 +27,7 @@
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.hosted.usagecounter import UsageNews
     from wigeonpier.membership.news import SuspicionUpdate
-    from wigeonpier.models import HostSettings, QuestionLoad
+    from wigeonpier.models import HostSettings, OnlineLoad
     from wigeonpier.web.exchange import Exchange
     from wigeonpier.web.pool import ConnectionPool
 
@@ -53,7 +53,7 @@
         customers there.
     """
 
-    on_load: Callable[[str, QuestionLoad], None]
+    on_load: Callable[[str, OnlineLoad], None]
     on_news: Callable[[SuspicionUpdate], None]
     on_followed: Callable[[str], None]
     on_usage: Callable[[str, UsageNews], None]
@@ -151,7 +151,7 @@
         if message.load is not None:
             self._record_load(address, message.load)
 
-    def _record_load(self, address: str, load: QuestionLoad) -> None:
+    def _record_load(self, address: str, load: OnlineLoad) -> None:
         now = time.monotonic()
         self._listeners.on_load(split_address(address)[0], load)
         for state in self._replicas.list_upstreams():
--- a/src/wigeonpier/hosted/news.py
+++ b/src/wigeonpier/hosted/news.py
@@ -6,7 +6,7 @@
 
 from wigeonpier.hosted.usagecounter import UsageNews
 from wigeonpier.membership.news import CrashReport, SuspicionUpdate
-from wigeonpier.models import QuestionLoad
+from wigeonpier.models import OnlineLoad
 
 
 class FeedLine(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -17,7 +17,7 @@
     :param usage: requests of customers.
     """
 
-    load: QuestionLoad | None = None
+    load: OnlineLoad | None = None
     news: SuspicionUpdate | None = None
     usage: UsageNews | None = None
 
--- a/src/wigeonpier/models.py
+++ b/src/wigeonpier/models.py
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuestionLoad:
+class OnlineLoad:
     """Load of an upstream that its worker reports to entries.
 
     :param questions: online requests at the upstream.
@@ -137,7 +137,7 @@
     """
 
     is_granted: bool
-    load: QuestionLoad
+    load: OnlineLoad
     trial: str = ''
 
 
--- a/src/wigeonpier/policy/route.py
+++ b/src/wigeonpier/policy/route.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     import random
 
-    from wigeonpier.models import QuestionLoad
+    from wigeonpier.models import OnlineLoad
 
 FAILURES_TO_EJECT = 3
 INITIAL_EJECTION_SECONDS = 2.0
@@ -218,7 +218,7 @@
     return state.in_flight + others
 
 
-def record_load(state: UpstreamState, load: QuestionLoad, now: float) -> None:
+def record_load(state: UpstreamState, load: OnlineLoad, now: float) -> None:
     """Update an upstream with a load from its local process.
 
     :param state: changed in place, unless the load is of an earlier start.
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -16,7 +16,7 @@
     SendFailure,
 )
 from wigeonpier.hosted.reserver import Answer
-from wigeonpier.models import QuestionLoad
+from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.route import record_load
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
         for number, _load in enumerate(loads)
     ]
     for state, load in zip(states, loads, strict=True):
-        record_load(state, QuestionLoad(load, takes_work=True), now)
+        record_load(state, OnlineLoad(load, takes_work=True), now)
     return make_sender(states)
 
 
--- a/tests/policy/peakmodel.py
+++ b/tests/policy/peakmodel.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from tests.builders import build_upstream
-from wigeonpier.models import QuestionLoad
+from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.reservation import (
     MAX_RESERVATION_ATTEMPTS,
     SlotUse,
@@ -161,7 +161,7 @@
     ) -> bool:
         self.reservation_attempts += 1
         questions = self._count_at(number)
-        record_load(state, QuestionLoad(questions, takes_work=True), self.now)
+        record_load(state, OnlineLoad(questions, takes_work=True), self.now)
         use = SlotUse(SLOTS, questions, reserved=0)
         return may_reserve(use, is_late=is_late(waited))
 
@@ -258,7 +258,7 @@
     def _send_feed(self) -> None:
         for number in range(self.upstreams):
             for states in self.states:
-                load = QuestionLoad(self._count_at(number), takes_work=True)
+                load = OnlineLoad(self._count_at(number), takes_work=True)
                 record_load(states[number], load, self.now)
         self._schedule(self.now + REPORT_SECONDS, self._send_feed)
 
--- a/tests/policy/test_incarnation.py
+++ b/tests/policy/test_incarnation.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from tests.builders import build_upstream
-from wigeonpier.models import QuestionLoad
+from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.incarnation import comes_after, is_earlier
 from wigeonpier.policy.route import record_load, record_outcome
 
@@ -33,14 +33,14 @@
     for _ in range(3):
         record_outcome(state, went_well=False, now=10.0)
     assert state.ejected_until > 10
-    record_load(state, QuestionLoad(0, takes_work=True, incarnation=6), 10.1)
+    record_load(state, OnlineLoad(0, takes_work=True, incarnation=6), 10.1)
     assert (state.ejected_until, state.ejections) == (0, 0)
-    record_load(state, QuestionLoad(8, takes_work=False, incarnation=5), 10.2)
+    record_load(state, OnlineLoad(8, takes_work=False, incarnation=5), 10.2)
     assert (state.reported, state.takes_work) == (0, True)
 
 
 def test_load_of_a_later_start_does_not_undo_leaving() -> None:
     """Only the register may; otherwise it would get requests again."""
     state = build_upstream('up', incarnation=5, is_leaving=True)
-    record_load(state, QuestionLoad(0, takes_work=True, incarnation=6), 10.1)
+    record_load(state, OnlineLoad(0, takes_work=True, incarnation=6), 10.1)
     assert state.is_leaving
--- a/tests/policy/test_peakmodel.py
+++ b/tests/policy/test_peakmodel.py
@@ -6,7 +6,7 @@
 
 from tests.builders import build_upstream
 from tests.policy.peakmodel import CRITERIA, PeakModel
-from wigeonpier.models import QuestionLoad
+from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.route import estimate_cost, find_usable, record_load
 
 
@@ -21,7 +21,7 @@
 
 def test_requests_sent_since_the_report_count() -> None:
     state = build_upstream('vm-1', in_flight=5)
-    record_load(state, QuestionLoad(2, takes_work=True), 10.0)
+    record_load(state, OnlineLoad(2, takes_work=True), 10.0)
     before = estimate_cost(state, CRITERIA, now=10.0)
     state.sent_since_report += 1
     assert before == 3 / 8
@@ -30,7 +30,7 @@
 
 def test_outdated_feed_load_is_ignored() -> None:
     state = build_upstream('vm-1')
-    record_load(state, QuestionLoad(7, takes_work=False), 10.0)
+    record_load(state, OnlineLoad(7, takes_work=False), 10.0)
     other = build_upstream('vm-2')
     assert find_usable([state, other], CRITERIA, 10.5) == [other]
     assert find_usable([state, other], CRITERIA, 12.0) == [state, other]
@@ -39,5 +39,5 @@
 def test_half_of_all_upstreams_stay_usable_if_all_report_unhealthy() -> None:
     states = [build_upstream(f'vm-{number}') for number in range(4)]
     for state in states:
-        record_load(state, QuestionLoad(0, takes_work=False), 10.0)
+        record_load(state, OnlineLoad(0, takes_work=False), 10.0)
     assert len(find_usable(states, CRITERIA, 10.5)) == 2
--- a/tests/policy/test_route.py
+++ b/tests/policy/test_route.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from tests.builders import build_upstream
-from wigeonpier.models import QuestionLoad
+from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.route import (
     CRASH_HOLD_SECONDS,
     LATE_REPORT_SECONDS,
@@ -134,7 +134,7 @@
     """A load that was in flight when it crashed does not count."""
     (state,) = _build([{}])
     record_crash(state, 10.0)
-    load = QuestionLoad(0, takes_work=True)
+    load = OnlineLoad(0, takes_work=True)
     record_load(state, load, 10.05)
     assert not find_usable([state], CRITERIA, 10.1)
     record_load(state, load, 10.0 + LATE_REPORT_SECONDS)
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -6,7 +6,7 @@
 
 from tests.builders import build_upstream
 from tests.policy.peakmodel import PeakModel
-from wigeonpier.models import QuestionLoad
+from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.route import record_load
 from wigeonpier.policy.waiting import (
     QueueDecision,
@@ -37,16 +37,16 @@
     moves: bool,
 ) -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
-    record_load(current, QuestionLoad(here, takes_work=True), 10.0)
-    record_load(other, QuestionLoad(there, takes_work=True), 10.0)
+    record_load(current, OnlineLoad(here, takes_work=True), 10.0)
+    record_load(other, OnlineLoad(there, takes_work=True), 10.0)
     decided = decide_queued(current, other, QueueTime(0.5, 0.5), 10.1)
     assert decided is (QueueDecision.move if moves else QueueDecision.stay)
 
 
 def test_outdated_loads_cause_no_moves() -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
-    record_load(current, QuestionLoad(9, takes_work=True), 10.0)
-    record_load(other, QuestionLoad(0, takes_work=True), 8.0)
+    record_load(current, OnlineLoad(9, takes_work=True), 10.0)
+    record_load(other, OnlineLoad(0, takes_work=True), 8.0)
     assert (
         decide_queued(current, other, QueueTime(2.0, 2.0), 10.1)
         is QueueDecision.stay
@@ -79,8 +79,8 @@
 
 def test_only_late_requests_back_off_and_only_from_a_queue() -> None:
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
-    record_load(current, QuestionLoad(9, takes_work=True), 10.0)
-    record_load(other, QuestionLoad(9, takes_work=True), 10.0)
+    record_load(current, OnlineLoad(9, takes_work=True), 10.0)
+    record_load(other, OnlineLoad(9, takes_work=True), 10.0)
     assert (
         decide_queued(current, other, QueueTime(0.9, 0.9), 10.1)
         is QueueDecision.stay
@@ -89,7 +89,7 @@
         decide_queued(current, other, QueueTime(1.0, 1.0), 10.1)
         is QueueDecision.back_off
     )
-    record_load(current, QuestionLoad(8, takes_work=True), 10.0)
+    record_load(current, OnlineLoad(8, takes_work=True), 10.0)
     assert (
         decide_queued(current, other, QueueTime(1.0, 1.0), 10.1)
         is QueueDecision.stay
@@ -99,8 +99,8 @@
 def test_unresponsive_upstream_without_a_queue_is_left_early() -> None:
     """An unresponsive upstream that accepted requests cost 1.2 s of each."""
     current, other = build_upstream('vm-1'), build_upstream('vm-2')
-    record_load(current, QuestionLoad(3, takes_work=True), 10.0)
-    record_load(other, QuestionLoad(3, takes_work=True), 10.0)
+    record_load(current, OnlineLoad(3, takes_work=True), 10.0)
+    record_load(other, OnlineLoad(3, takes_work=True), 10.0)
     assert (
         decide_queued(current, other, QueueTime(1.9, 1.9), 10.1)
         is QueueDecision.stay
@@ -109,7 +109,7 @@
         decide_queued(current, other, QueueTime(2.0, 2.0), 10.1)
         is QueueDecision.distrust
     )
-    record_load(other, QuestionLoad(8, takes_work=True), 10.0)
+    record_load(other, OnlineLoad(8, takes_work=True), 10.0)
     assert (
         decide_queued(current, other, QueueTime(2.0, 2.0), 10.1)
         is QueueDecision.stay
@@ -120,7 +120,7 @@
     assert limit_back_off(4.7) == 1.5
     assert limit_back_off(1.0) == 0.5
     other = build_upstream('vm-2')
-    record_load(other, QuestionLoad(6, takes_work=True), 10.0)
+    record_load(other, OnlineLoad(6, takes_work=True), 10.0)
     assert may_resend(other, 10.1)
     other.sent_since_report += 1
     assert not may_resend(other, 10.1)
