--- a/src/wigeonpier/hosted/holder.py
+++ b/src/wigeonpier/hosted/holder.py
@@ -15,7 +15,7 @@
 from wigeonpier.hosted.board import Board
 from wigeonpier.hosted.intake import INTAKE_PATH
 from wigeonpier.loops import spawn_loop
-from wigeonpier.models import HeldJob
+from wigeonpier.models import DiskJob
 from wigeonpier.web.client import CallFailure
 from wigeonpier.web.exchange import make_request
 
@@ -124,7 +124,7 @@
         disks = list(self.board.disks.values())
         if len(disks) < self.copies_needed:
             return DiskWrite()
-        body = msgspec.json.encode(HeldJob(job, tuple(items)))
+        body = msgspec.json.encode(DiskJob(job, tuple(items)))
         sends = [
             gevent.spawn(self._send, disk, job.name, body) for disk in disks
         ]
--- a/src/wigeonpier/hosted/intake.py
+++ b/src/wigeonpier/hosted/intake.py
@@ -21,7 +21,7 @@
 from wigeonpier.disk.storage import call_in_thread, replace_file
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.loops import spawn_loop
-from wigeonpier.models import HeldJob
+from wigeonpier.models import DiskJob
 from wigeonpier.platform.port import Failure
 from wigeonpier.policy.placement import assign_items
 from wigeonpier.telemetry.events import Event
@@ -116,7 +116,7 @@
     def _write_to_store(self, name: str) -> bool:
         path = self._root / name
         try:
-            disk_job = msgspec.json.decode(path.read_bytes(), type=HeldJob)
+            disk_job = msgspec.json.decode(path.read_bytes(), type=DiskJob)
         except (OSError, msgspec.DecodeError) as error:
             # A write interrupted by a power loss was never confirmed.
             log_event(Event.job_unreadable, job=name, why=str(error))
--- a/src/wigeonpier/models.py
+++ b/src/wigeonpier/models.py
@@ -257,7 +257,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldJob:
+class DiskJob:
     """A job that was accepted while the store was unavailable.
 
     :param job: the job; its items have no owner yet.
