--- a/src/wigeonpier/hosted/arrival.py
+++ b/src/wigeonpier/hosted/arrival.py
@@ -13,7 +13,7 @@
 from wigeonpier.telemetry.logs import log_event
 
 if TYPE_CHECKING:
-    from wigeonpier.policy.identity import Identity, Knowledge
+    from wigeonpier.policy.identity import Freshness, Identity
     from wigeonpier.served import (
         ServedConfiguration,
         ServedCustomer,
@@ -52,13 +52,13 @@
 def route_request(
     request: Request,
     configuration: ServedConfiguration | None,
-    knowledge: Knowledge,
+    freshness: Freshness,
 ) -> Arrival:
     """Parse the headers of a request, find its route and authenticate it.
 
     :param request: the request; its key is removed and its customer set.
     :param configuration: current configuration, ``None`` if none was read yet.
-    :param knowledge: how recently it was confirmed to be the newest.
+    :param freshness: how recently it was confirmed to be the newest.
     :returns: the request with its route and customer.
     :raises Refusal: when there is no route, the key is invalid, or the
         configuration is missing or too old to authenticate the caller.
@@ -73,8 +73,8 @@
     request.body_limit = configuration.body_limit
     customer = require_customer(
         request,
-        identify(configuration, key, knowledge, is_open=route.is_open),
-        knowledge,
+        identify(configuration, key, freshness, is_open=route.is_open),
+        freshness,
     )
     request.customer = customer.name if customer else ''
     return Arrival(request, head, route, customer)
@@ -83,13 +83,13 @@
 def authenticate_job_call(
     request: Request,
     configuration: ServedConfiguration | None,
-    knowledge: Knowledge,
+    freshness: Freshness,
 ) -> None:
     """Authenticate the caller of a request on an existing job.
 
     :param request: the request; its key is removed and its customer set.
     :param configuration: current configuration, ``None`` if none was read yet.
-    :param knowledge: how recently it was confirmed to be the newest.
+    :param freshness: how recently it was confirmed to be the newest.
     :raises Refusal: when the key is invalid, or the configuration is missing
         or too old to authenticate the caller.
     """
@@ -103,8 +103,8 @@
     )
     customer = require_customer(
         request,
-        identify(configuration, key, knowledge, is_open=is_open),
-        knowledge,
+        identify(configuration, key, freshness, is_open=is_open),
+        freshness,
     )
     request.customer = customer.name if customer else ''
 
@@ -112,13 +112,13 @@
 def require_customer(
     request: Request,
     identity: Identity,
-    knowledge: Knowledge,
+    freshness: Freshness,
 ) -> ServedCustomer | None:
     """Return the customer of a request, or refuse the request.
 
     :param request: the request, for the log.
     :param identity: result of checking its key.
-    :param knowledge: how recently the configuration was confirmed to be the
+    :param freshness: how recently the configuration was confirmed to be the
         newest.
     :returns: the customer, ``None`` if no key is needed.
     :raises Refusal: when the key is invalid or cannot be checked now.
@@ -130,13 +130,13 @@
         request=ingress.read_question(request).identity,
         caller=request.caller,
         why=identity.verdict.value,
-        age=round(knowledge.age, 3),
+        age=round(freshness.age, 3),
     )
     if identity.verdict is Verdict.unknown_key:
         raise Refusal(ErrorKind.unauthenticated, 'no customer has this key')
     raise Refusal(
         ErrorKind.not_ready,
-        f'what is known of keys is {knowledge.age:.1f} s old',
+        f'what is known of keys is {freshness.age:.1f} s old',
         retry_seconds=RETRY_ELSEWHERE_SECONDS,
     )
 
--- a/src/wigeonpier/hosted/knowledge.py
+++ b/src/wigeonpier/hosted/knowledge.py
@@ -11,7 +11,7 @@
 
 from wigeonpier.loops import spawn_loop
 from wigeonpier.policy import freshness
-from wigeonpier.policy.identity import Knowledge
+from wigeonpier.policy.identity import Freshness
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 
@@ -74,12 +74,12 @@
         if self._bound:
             spawn_loop('knowledge', self._step)
 
-    def measure(self) -> Knowledge:
+    def measure(self) -> Freshness:
         """Measure how long ago the configuration was confirmed.
 
         :returns: its age and the bound.
         """
-        return Knowledge(read_clock() - self._confirmed_at, self._bound)
+        return Freshness(read_clock() - self._confirmed_at, self._bound)
 
     @property
     def is_ready(self) -> bool:
--- a/src/wigeonpier/policy/identity.py
+++ b/src/wigeonpier/policy/identity.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class Freshness:
     """How far a configuration can be trusted.
 
     :param age: seconds since it was known to be the newest.
@@ -57,7 +57,7 @@
 def identify(
     configuration: ServedConfiguration,
     key: str,
-    knowledge: Knowledge,
+    freshness: Freshness,
     *,
     is_open: bool,
 ) -> Identity:
@@ -65,7 +65,7 @@
 
     :param configuration: configuration in force.
     :param key: the caller's key, empty where there is none.
-    :param knowledge: how far the configuration can be trusted.
+    :param freshness: how far the configuration can be trusted.
     :param is_open: whether no key is needed.
     :returns: the verdict and the customer.
     """
@@ -77,10 +77,10 @@
     if not key:
         return Identity(Verdict.unknown_key)
     if customer is None:
-        is_certain = may_refuse_unknown_key(knowledge.age, knowledge.bound)
+        is_certain = may_refuse_unknown_key(freshness.age, freshness.bound)
         return Identity(
             Verdict.unknown_key if is_certain else Verdict.unsure,
         )
-    if not may_authorize(knowledge.age, knowledge.bound):
+    if not may_authorize(freshness.age, freshness.bound):
         return Identity(Verdict.unsure)
     return Identity(Verdict.admitted, customer)
--- a/tests/policy/test_identity.py
+++ b/tests/policy/test_identity.py
@@ -4,21 +4,21 @@
 
 import pytest
 
-from wigeonpier.policy.identity import Knowledge, Verdict, identify
+from wigeonpier.policy.identity import Freshness, Verdict, identify
 from wigeonpier.policy.ownership import scope_job
 from wigeonpier.served import ServedConfiguration, ServedCustomer
 
 CUSTOMER = ServedCustomer('first')
 KEYED = ServedConfiguration(1, (), 0, {'k': CUSTOMER})
 FREE = ServedConfiguration(1, (), 0)
-FRESH = Knowledge(0.1, 5)
-OLD = Knowledge(4, 5)
-TOO_OLD = Knowledge(4.6, 5)
-UNBOUND = Knowledge(float('inf'), 0)
+FRESH = Freshness(0.1, 5)
+OLD = Freshness(4, 5)
+TOO_OLD = Freshness(4.6, 5)
+UNBOUND = Freshness(float('inf'), 0)
 
 
 @pytest.mark.parametrize(
-    ('configuration', 'key', 'knowledge', 'is_open', 'verdict', 'customer'),
+    ('configuration', 'key', 'freshness', 'is_open', 'verdict', 'customer'),
     [
         (FREE, '', TOO_OLD, False, Verdict.admitted, None),
         (FREE, 'k', TOO_OLD, False, Verdict.admitted, None),
@@ -35,9 +35,9 @@
     ],
 )
 def test_verdict_depends_on_key_and_age_of_the_configuration(
-    configuration, key, knowledge, is_open, verdict, customer
+    configuration, key, freshness, is_open, verdict, customer
 ) -> None:
-    found = identify(configuration, key, knowledge, is_open=is_open)
+    found = identify(configuration, key, freshness, is_open=is_open)
     assert found.verdict is verdict
     assert found.customer is customer
 
