--- a/src/wigeonpier/batch/takeover.py
+++ b/src/wigeonpier/batch/takeover.py
@@ -21,10 +21,10 @@
 from wigeonpier.batch.records import decode_records
 from wigeonpier.disk.client import DiskFailure, read_first
 from wigeonpier.policy.attempts import (
-    Journal,
     Ledger,
-    fold_segment,
+    SegmentState,
     record_loss,
+    replay_segment,
 )
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -167,7 +167,7 @@
     claim: Claim,
     segment: Segment,
     items: list[Item],
-) -> Journal | None:
+) -> SegmentState | None:
     """Fence a segment and read its longest copy.
 
     Each copy is a prefix of the same records, and a fenced copy accepts no
@@ -188,7 +188,7 @@
         elif read.err_value is DiskFailure.absent:
             contents.append(b'')
     if contents:
-        return fold_segment(
+        return replay_segment(
             decode_records(max(contents, key=len)),
             len(items),
         )
--- a/src/wigeonpier/policy/attempts.py
+++ b/src/wigeonpier/policy/attempts.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class Journal:
+class SegmentState:
     """State of one segment of a journal.
 
     :param ledgers: one per item; empty if no snapshot is complete.
@@ -93,20 +93,20 @@
             ledger.outcome = ledger.outcome or record
 
 
-def fold_segment(records: Iterable[Record], items: int) -> Journal:
+def replay_segment(records: Iterable[Record], items: int) -> SegmentState:
     """Replay one segment from its start.
 
     :param records: its valid records in order.
     :param items: number of items in the chunk.
     :returns: ledgers as of its end.
     """
-    journal = Journal([Ledger() for _ in range(items)])
+    segment_state = SegmentState([Ledger() for _ in range(items)])
     for record in records:
         if isinstance(record, Ready):
-            journal.is_ready = True
+            segment_state.is_ready = True
         else:
-            apply_record(journal.ledgers[record.item], record)
-    return journal
+            apply_record(segment_state.ledgers[record.item], record)
+    return segment_state
 
 
 def record_loss(ledger: Ledger) -> None:
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -12,8 +12,8 @@
     Step,
     apply_record,
     decide_item,
-    fold_segment,
     record_loss,
+    replay_segment,
     write_snapshot,
 )
 from wigeonpier.records import Begin, Failure, Outcome, Release, Status
@@ -39,8 +39,8 @@
 
 @given(RECORDS)
 def test_snapshot_replays_to_the_same_decisions(records) -> None:
-    ledger = fold_segment(records, 1).ledgers[0]
-    again = fold_segment(write_snapshot(0, ledger), 1).ledgers[0]
+    ledger = replay_segment(records, 1).ledgers[0]
+    again = replay_segment(write_snapshot(0, ledger), 1).ledgers[0]
     for idempotent in (True, False):
         after_loss = []
         for each in (ledger, again):
@@ -69,7 +69,7 @@
 
 @given(RECORDS)
 def test_non_idempotent_item_is_never_run_again_after_a_loss(records) -> None:
-    ledger = fold_segment(records, 1).ledgers[0]
+    ledger = replay_segment(records, 1).ledgers[0]
     record_loss(ledger)
     step = decide_item(ledger, idempotent=False, bounds=BOUNDS)
     if ledger.losses or ledger.failures:
