--- a/src/wigeonpier/entry/uploads.py
+++ b/src/wigeonpier/entry/uploads.py
@@ -28,7 +28,7 @@
 from wigeonpier.disk.client import DiskClient, write_all_copies
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.policy.copies import Disk, choose_copies
-from wigeonpier.policy.paging import MOST_PAGE_BYTES, choose_page_size
+from wigeonpier.policy.paging import MAX_PAGE_BYTES, choose_page_size
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -148,7 +148,7 @@
         self.lines.append(line)
         self._page_bytes += len(line) + 1
         is_full = len(self.lines) >= choose_page_size(len(self.pages))
-        if is_full or self._page_bytes >= MOST_PAGE_BYTES:
+        if is_full or self._page_bytes >= MAX_PAGE_BYTES:
             self._write_page()
 
     def finish(self, customer: str, filename: str) -> FileRecord:
--- a/src/wigeonpier/hosted/suspicionpublisher.py
+++ b/src/wigeonpier/hosted/suspicionpublisher.py
@@ -16,7 +16,7 @@
 
 from wigeonpier.hosted.suspicionhandler import NEWS_PATH
 from wigeonpier.membership.news import SuspicionUpdate
-from wigeonpier.membership.suspicions import ON_ITS_WAY_SECONDS
+from wigeonpier.membership.suspicions import PROPAGATION_SECONDS
 from wigeonpier.settings.process import split_address
 from wigeonpier.web.exchange import make_request
 
@@ -83,7 +83,7 @@
         :param update: the update.
         """
         for crash in update.ends:
-            if crash.age < ON_ITS_WAY_SECONDS:
+            if crash.age < PROPAGATION_SECONDS:
                 self._replicas.record_crash(crash.upstream)
         new = self._suspicions.merge(update)
         if new != SuspicionUpdate():
--- a/src/wigeonpier/local/gate.py
+++ b/src/wigeonpier/local/gate.py
@@ -74,7 +74,7 @@
     def slots(self) -> int:
         """Return how many streams meet the target, as learned."""
         if self.kind is not GateKind.learned:
-            return policy.MOST_SLOTS
+            return policy.MAX_SLOTS
         return policy.count_slots(self.model, self.target_seconds)
 
     @property
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -35,7 +35,7 @@
 # Reports sent before a request was cleared arrive within this time.
 CLEARED_SECONDS = 30.0
 # Delivery may make the age in a report too low by this much.
-ON_ITS_WAY_SECONDS = 0.5
+PROPAGATION_SECONDS = 0.5
 # A follower that lags further behind receives the whole state.
 MAX_CHANGES = 1024
 # At 4 crashes of 150 bytes: 20 KB at most in a heartbeat, usually nothing.
@@ -241,7 +241,7 @@
     def _add_crash(self, report: CrashReport, now: float) -> bool:
         at = now - report.age
         cleared_at = self._cleared.get(report.fingerprint)
-        if cleared_at is not None and at <= cleared_at + ON_ITS_WAY_SECONDS:
+        if cleared_at is not None and at <= cleared_at + PROPAGATION_SECONDS:
             return False
         if self._is_explained(report):
             return False
--- a/src/wigeonpier/policy/gate.py
+++ b/src/wigeonpier/policy/gate.py
@@ -17,7 +17,7 @@
 PRIOR_SLOPE_SECONDS = 0.001
 TARGET_MARGIN = 0.97
 MIN_SLOTS = 1
-MOST_SLOTS = 1024
+MAX_SLOTS = 1024
 RUN_ONCE_SHARE = 0.25
 MAX_GAP_SECONDS = 2.0
 MIN_ONLINE_STREAMS = 16
@@ -87,7 +87,7 @@
     slope = max(MIN_SLOPE_SECONDS, _fit_slope(fitted))
     headroom = target_seconds * TARGET_MARGIN - mean_seconds
     max_slots = mean_streams * EXTRAPOLATION_FACTOR + EXTRAPOLATION_STREAMS
-    slots = min(mean_streams + headroom / slope, max_slots, MOST_SLOTS)
+    slots = min(mean_streams + headroom / slope, max_slots, MAX_SLOTS)
     return max(MIN_SLOTS, math.floor(slots))
 
 
