--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -19,7 +19,7 @@
     import random
 
     from wigeonpier.hosted.chooser import UpstreamChooser
-    from wigeonpier.hosted.question import Question
+    from wigeonpier.hosted.question import OnlineRequest
     from wigeonpier.hosted.reach import Reach
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.hosted.reserver import SlotReserver
@@ -57,7 +57,7 @@
     trials: TrialPlacer
     gate: PriorityGate = field(default_factory=PriorityGate)
 
-    def bind(self, request: Question) -> UpstreamState | None:
+    def bind(self, request: OnlineRequest) -> UpstreamState | None:
         """Choose an upstream with a free slot; hold the request until one has.
 
         When the hold times out, or no worker answers, the least busy upstream
@@ -76,7 +76,7 @@
             stack.callback(self.gate.remove, request.priority)
             return self._wait_for_slot(request)
 
-    def find_obstacle(self, request: Question) -> SendFailure | None:
+    def find_obstacle(self, request: OnlineRequest) -> SendFailure | None:
         """Find the reason why a request must not be sent once more.
 
         :param request: the request.
@@ -90,7 +90,7 @@
             return SendFailure.condemned
         return SendFailure.cut_off if self.reach.is_cut_off else None
 
-    def is_refused(self, request: Question) -> bool:
+    def is_refused(self, request: OnlineRequest) -> bool:
         """Check whether a request is no longer run.
 
         :param request: the request.
@@ -100,7 +100,7 @@
 
     def reserve_at(
         self,
-        request: Question,
+        request: OnlineRequest,
         upstream: UpstreamState,
     ) -> Answer:
         """Request a slot from the worker of an upstream.
@@ -116,7 +116,7 @@
             is_late=reservation.is_late(self._measure_waited_share(request)),
         )
 
-    def _wait_for_slot(self, request: Question) -> UpstreamState | None:
+    def _wait_for_slot(self, request: OnlineRequest) -> UpstreamState | None:
         deadline = self._compute_hold_deadline(request)
         while True:
             chosen = self._try_reserve_in_turn(request)
@@ -134,12 +134,14 @@
             if request.is_gone:
                 raise CallerGoneError('the caller has left')
 
-    def _try_reserve_in_turn(self, request: Question) -> UpstreamState | None:
+    def _try_reserve_in_turn(
+        self, request: OnlineRequest
+    ) -> UpstreamState | None:
         if not self.gate.is_admitted(request.priority):
             return None
         return self._find_slot(request)
 
-    def _compute_hold_deadline(self, request: Question) -> float:
+    def _compute_hold_deadline(self, request: OnlineRequest) -> float:
         """Return the end of the hold, seconds of the monotonic clock."""
         now = time.monotonic()
         if request.first_event_at and self._is_suspected(request):
@@ -149,34 +151,36 @@
             has_begun=bool(request.first_event_at),
         )
 
-    def _choose_after_wait(self, request: Question) -> UpstreamState | None:
+    def _choose_after_wait(
+        self, request: OnlineRequest
+    ) -> UpstreamState | None:
         if self._is_suspected(request):
             upstream = self.trials.find_late(request)
             if upstream is not None:
                 return upstream
         return self.chooser.choose(request)
 
-    def _is_suspected(self, request: Question) -> bool:
+    def _is_suspected(self, request: OnlineRequest) -> bool:
         return self.suspects.judge(request) is not RunMode.free
 
-    def _needs_slot(self, request: Question) -> bool:
+    def _needs_slot(self, request: OnlineRequest) -> bool:
         """Check whether a request is held until a slot is reserved."""
         return bool(request.route.objective) or self._is_suspected(request)
 
-    def _find_slot(self, request: Question) -> UpstreamState | None:
+    def _find_slot(self, request: OnlineRequest) -> UpstreamState | None:
         """Reserve a slot, apart from other suspects if it is suspected."""
         run_mode = self.suspects.judge(request)
         if run_mode is RunMode.free:
             return self._reserve(request)
         return self.trials.find_place(request, run_mode)
 
-    def _is_any_expected(self, request: Question) -> bool:
+    def _is_any_expected(self, request: OnlineRequest) -> bool:
         """Check whether an upstream is known, or may return after a crash."""
         if self.chooser.choose(request) or self.replicas.is_outdated:
             return True
         return self.replicas.is_any_ended(request.service)
 
-    def _reserve(self, request: Question) -> UpstreamState | None:
+    def _reserve(self, request: OnlineRequest) -> UpstreamState | None:
         """Try to reserve a slot at a few upstreams, the likeliest first.
 
         :returns: the upstream to send to, ``None`` if a worker refused and
@@ -199,6 +203,6 @@
             tried.add(candidate.name)
         return None if has_refusal else self.chooser.choose(request)
 
-    def _measure_waited_share(self, request: Question) -> float:
+    def _measure_waited_share(self, request: OnlineRequest) -> float:
         waited = time.monotonic() - request.began_at
         return waited / request.route.objective
--- a/src/wigeonpier/hosted/chooser.py
+++ b/src/wigeonpier/hosted/chooser.py
@@ -16,7 +16,7 @@
     import random
     from collections.abc import Set
 
-    from wigeonpier.hosted.question import Question
+    from wigeonpier.hosted.question import OnlineRequest
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.models import HostSettings
     from wigeonpier.policy.route import UpstreamState
@@ -39,45 +39,45 @@
 
     def choose(
         self,
-        question: Question,
+        request: OnlineRequest,
         excluded: Set[str] = NONE_EXCLUDED,
     ) -> UpstreamState | None:
         """Choose an upstream for a request.
 
-        :param question: the request; upstreams that it was sent to already
+        :param request: the request; upstreams that it was sent to already
             are left out.
         :param excluded: names of other upstreams to leave out.
         :returns: the upstream, ``None`` if there is none.
         """
         return choose_upstream(
             self.replicas.list_upstreams(),
-            self._make_criteria(question, excluded),
+            self._make_criteria(request, excluded),
             time.monotonic(),
             self.rng,
         )
 
-    def list_candidates(self, question: Question) -> list[UpstreamState]:
+    def list_candidates(self, request: OnlineRequest) -> list[UpstreamState]:
         """List all upstreams that could run a request, at any distance.
 
-        :param question: the request; upstreams that it was sent to already
+        :param request: the request; upstreams that it was sent to already
             are left out.
         :returns: the upstreams, the same at all entries with the same state.
         """
         return find_usable(
             list(self.replicas.upstreams.values()),
-            self._make_criteria(question, NONE_EXCLUDED),
+            self._make_criteria(request, NONE_EXCLUDED),
             time.monotonic(),
         )
 
     def _make_criteria(
-        self, question: Question, excluded: Set[str]
+        self, request: OnlineRequest, excluded: Set[str]
     ) -> RoutingCriteria:
-        shared_parts = question.head.prompt_parts[:-1]
+        shared_parts = request.head.prompt_parts[:-1]
         return RoutingCriteria(
-            service=question.service,
+            service=request.service,
             model='',
             affinity=shared_parts[-1] if shared_parts else '',
             data_centre=self.settings.data_centre,
             region=self.settings.region,
-            excluded=frozenset(question.tried | excluded),
+            excluded=frozenset(request.tried | excluded),
         )
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -25,7 +25,7 @@
 from wigeonpier.hosted.proofs import FreshnessProver
 from wigeonpier.hosted.quarantine.publisher import QuarantinePublisher
 from wigeonpier.hosted.quarantine.store import QuarantineStore
-from wigeonpier.hosted.questions import RETRY_ELSEWHERE_SECONDS, QuestionHandler
+from wigeonpier.hosted.questions import RETRY_ELSEWHERE_SECONDS, OnlineHandler
 from wigeonpier.hosted.reach import Reach
 from wigeonpier.hosted.reader import JobReader
 from wigeonpier.hosted.relay import Relays
@@ -126,7 +126,7 @@
                 self._limiter.record_report,
             ),
         )
-        self._questions = QuestionHandler(
+        self._online_handler = OnlineHandler(
             self._configuration,
             self._make_sender(),
             common.metrics,
@@ -331,4 +331,4 @@
         self._check_isolation()
         if arrival.route.kind is RouteKind.batch:
             return self._jobs.hand_in(arrival)
-        return self._questions.answer(arrival)
+        return self._online_handler.answer(arrival)
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class Question:
+class OnlineRequest:
     """One online request, from its arrival to the end of its response.
 
     :param request: the HTTP request.
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -15,7 +15,7 @@
     SendFailure,
     classify_disconnect,
 )
-from wigeonpier.hosted.question import Question
+from wigeonpier.hosted.question import OnlineRequest
 from wigeonpier.platform import ingress
 from wigeonpier.policy.matching import choose_service
 from wigeonpier.policy.route import record_outcome
@@ -57,7 +57,7 @@
     """
 
 
-class QuestionHandler:
+class OnlineHandler:
     """Answers the online requests of callers."""
 
     def __init__(
@@ -89,26 +89,26 @@
         :returns: the upstream's response.
         :raises Refusal: when no upstream responds or the limit is reached.
         """
-        question = self._make_question(arrival)
+        request = self._make_request(arrival)
         if arrival.customer is not None:
             self._limiter.admit(arrival.customer, arrival.head.identity)
-        question.watcher = watch_close(
+        request.watcher = watch_close(
             arrival.request.connection,
-            question.abandon,
+            request.abandon,
         )
         try:
-            return self._answer(question)
+            return self._answer(request)
         except BaseException as error:
-            if arrival.customer is not None and not question.runs:
+            if arrival.customer is not None and not request.runs:
                 self._limiter.refund(arrival.customer)
-            self._finish(question, type(error).__name__)
+            self._finish(request, type(error).__name__)
             raise
 
-    def _make_question(self, arrival: Arrival) -> Question:
+    def _make_request(self, arrival: Arrival) -> OnlineRequest:
         now = time.monotonic()
         route = arrival.route
         timeout = arrival.head.seconds or DEFAULT_TIMEOUT_SECONDS
-        return Question(
+        return OnlineRequest(
             request=arrival.request,
             head=arrival.head,
             route=route,
@@ -120,10 +120,10 @@
             priority=arrival.priority,
         )
 
-    def _answer(self, question: Question) -> Response:
-        sent = self._sender.send(question)
+    def _answer(self, request: OnlineRequest) -> Response:
+        sent = self._sender.send(request)
         if isinstance(sent, Err):
-            raise self._refuse(question, sent.err_value)
+            raise self._refuse(request, sent.err_value)
         exchange = sent.ok_value
         headers = dict(exchange.list_headers())
         content_type = headers.pop(
@@ -134,138 +134,136 @@
         if ingress.is_success(exchange) and content_type.startswith(
             EVENT_STREAM_TYPE,
         ):
-            body = self._stream(question)
+            body = self._stream(request)
         else:
-            body = self._read_body(question, exchange)
+            body = self._read_body(request, exchange)
         response = Response(exchange.status, body, content_type, headers)
-        response.on_close.append(lambda: self._finish(question, 'answered'))
+        response.on_close.append(lambda: self._finish(request, 'answered'))
         return response
 
-    def _read_body(self, question: Question, exchange: Exchange) -> bytes:
-        upstream, _exchange = _get_current(question)
+    def _read_body(self, request: OnlineRequest, exchange: Exchange) -> bytes:
+        upstream, _exchange = _get_current(request)
         try:
             body = exchange.read(
-                max(question.seconds_left, MIN_READ_TIMEOUT_SECONDS),
+                max(request.seconds_left, MIN_READ_TIMEOUT_SECONDS),
             )
         except OSError as error:
             failure = classify_disconnect(error)
-            question.release(is_broken=True)
-            self._sender.record_failure(question, upstream, failure)
+            request.release(is_broken=True)
+            self._sender.record_failure(request, upstream, failure)
             raise Refusal(ErrorKind.upstream_lost, str(error)) from error
-        self._sender.binder.suspects.record_completion(question, upstream)
+        self._sender.binder.suspects.record_completion(request, upstream)
         return body
 
-    def _stream(self, question: Question) -> Iterator[bytes]:
+    def _stream(self, request: OnlineRequest) -> Iterator[bytes]:
         """Forward events, resuming at another upstream after a failure."""
         while True:
-            failure = yield from self._forward_events(question)
+            failure = yield from self._forward_events(request)
             if failure is None:
                 return
-            self._resume_elsewhere(question, failure)
+            self._resume_elsewhere(request, failure)
 
     def _forward_events(
         self,
-        question: Question,
+        request: OnlineRequest,
     ) -> Generator[bytes, None, SendFailure | None]:
         """Forward the events of one upstream.
 
         :returns: why the stream broke off, ``None`` if it is complete.
         """
-        upstream, exchange = _get_current(question)
+        upstream, exchange = _get_current(request)
         reader = EventReader(exchange)
         has_events = False
         while True:
             try:
                 event = reader.read(
-                    question.choose_read_timeout(has_events=has_events),
+                    request.choose_read_timeout(has_events=has_events),
                 )
             except OSError as error:
                 return classify_disconnect(error)
             if event is None:
                 record_outcome(upstream, went_well=True, now=time.monotonic())
                 self._sender.binder.suspects.record_completion(
-                    question, upstream
+                    request, upstream
                 )
                 return None
-            question.resume_after = event.identity or question.resume_after
+            request.resume_after = event.identity or request.resume_after
             has_events = True
-            question.sends[-1].had_output = True
-            question.first_event_at = (
-                question.first_event_at or time.monotonic()
-            )
+            request.sends[-1].had_output = True
+            request.first_event_at = request.first_event_at or time.monotonic()
             yield event.raw
 
     def _resume_elsewhere(
         self,
-        question: Question,
+        request: OnlineRequest,
         failure: SendFailure,
     ) -> None:
-        upstream, _exchange = _get_current(question)
-        question.release(is_broken=True)
-        self._sender.record_failure(question, upstream, failure)
-        sent = self._sender.send(question)
-        if isinstance(sent, Err) and not question.first_event_at:
+        upstream, _exchange = _get_current(request)
+        request.release(is_broken=True)
+        self._sender.record_failure(request, upstream, failure)
+        sent = self._sender.send(request)
+        if isinstance(sent, Err) and not request.first_event_at:
             # No byte of the response has been sent, so an error response is
             # still possible.
-            raise self._refuse(question, sent.err_value)
+            raise self._refuse(request, sent.err_value)
         if isinstance(sent, Err) or not ingress.is_success(sent.ok_value):
             raise BrokenStreamError(f'cannot resume stream: {failure.value}')
         log_event(
             Event.stream_resumed,
-            request=question.head.identity,
-            upstream=_get_current(question)[0].name,
-            after=question.resume_after,
+            request=request.head.identity,
+            upstream=_get_current(request)[0].name,
+            after=request.resume_after,
         )
 
-    def _refuse(self, question: Question, failure: SendFailure) -> Refusal:
+    def _refuse(self, request: OnlineRequest, failure: SendFailure) -> Refusal:
         if failure is SendFailure.condemned:
-            self._sender.binder.suspects.record_refusal(question)
-        return _make_refusal(question, failure)
-
-    def _finish(self, question: Question, outcome: str) -> None:
-        if question.watcher is not None:
-            question.watcher.kill(block=False)
-        question.release()
-        outcome = 'caller gone' if question.is_gone else outcome
-        route = question.route.name
-        seconds = time.monotonic() - question.began_at
+            self._sender.binder.suspects.record_refusal(request)
+        return _make_refusal(request, failure)
+
+    def _finish(self, request: OnlineRequest, outcome: str) -> None:
+        if request.watcher is not None:
+            request.watcher.kill(block=False)
+        request.release()
+        outcome = 'caller gone' if request.is_gone else outcome
+        route = request.route.name
+        seconds = time.monotonic() - request.began_at
         self._metrics.count('questions_total', route=route, outcome=outcome)
         self._metrics.observe('question', seconds, route=route)
-        if _is_logged(question, outcome):
+        if _is_logged(request, outcome):
             log_event(
                 Event.request_done,
-                request=question.head.identity,
-                caller=question.request.caller,
-                fingerprint=question.fingerprint,
+                request=request.head.identity,
+                caller=request.request.caller,
+                fingerprint=request.fingerprint,
                 route=route,
                 version=self._configuration.get_version(),
                 outcome=outcome,
-                sends=[asdict(send) for send in question.sends],
-                asks=question.asks,
-                runs=question.runs,
-                last_event=question.resume_after,
+                sends=[asdict(send) for send in request.sends],
+                asks=request.asks,
+                runs=request.runs,
+                last_event=request.resume_after,
                 seconds=round(seconds, 3),
             )
 
 
-def _is_logged(question: Question, outcome: str) -> bool:
+def _is_logged(request: OnlineRequest, outcome: str) -> bool:
     """Tell whether to log a finished request; ordinary ones are sampled."""
-    if outcome != 'answered' or len(question.sends) > 1:
+    if outcome != 'answered' or len(request.sends) > 1:
         return True
-    latency = question.first_event_at - question.began_at
-    if latency > question.route.objective:
+    latency = request.first_event_at - request.began_at
+    if latency > request.route.objective:
         return True
-    digest = xxhash.xxh3_64_intdigest(question.head.identity.encode())
+    digest = xxhash.xxh3_64_intdigest(request.head.identity.encode())
     return digest % LOG_ONE_IN == 0
 
 
-def _get_current(question: Question) -> tuple[UpstreamState, Exchange]:
-    if question.upstream is None or question.exchange is None:
+def _get_current(request: OnlineRequest) -> tuple[UpstreamState, Exchange]:
+    if request.upstream is None or request.exchange is None:
         raise BrokenStreamError('no upstream is processing the request')
-    return question.upstream, question.exchange
+    return request.upstream, request.exchange
 
 
-def _make_refusal(question: Question, failure: SendFailure) -> Refusal:
+def _make_refusal(request: OnlineRequest, failure: SendFailure) -> Refusal:
     """Make the error response for a request that could not be answered.
 
     It states that the request did not run only where that is certain.
@@ -274,9 +272,9 @@
         return Refusal(
             ErrorKind.ends_upstreams,
             failure.value,
-            ran=Ran.unknown if question.runs else Ran.no,
+            ran=Ran.unknown if request.runs else Ran.no,
         )
-    if not question.runs:
+    if not request.runs:
         is_cut_off = failure is SendFailure.cut_off
         return Refusal(
             ErrorKind.overloaded,
@@ -285,7 +283,7 @@
             if is_cut_off
             else RETRY_AFTER_SECONDS,
         )
-    if question.seconds_left <= 0:
+    if request.seconds_left <= 0:
         return Refusal(
             ErrorKind.deadline_passed,
             failure.value,
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -29,7 +29,7 @@
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.binder import SlotBinder
-    from wigeonpier.hosted.question import Question
+    from wigeonpier.hosted.question import OnlineRequest
     from wigeonpier.policy.route import UpstreamState
     from wigeonpier.web.exchange import Exchange
     from wigeonpier.web.pool import ConnectionPool
@@ -55,100 +55,100 @@
     binder: SlotBinder
     pool: ConnectionPool
 
-    def send(self, question: Question) -> Result[Exchange, SendFailure]:
+    def send(self, request: OnlineRequest) -> Result[Exchange, SendFailure]:
         """Send a request, retrying until an upstream responds.
 
-        :param question: the request; the upstream that responded is set on it.
+        :param request: the request; the upstream that responded is set on it.
         :returns: the exchange with its response head read, or the last failure
             once the request may not be sent again.
         :raises CallerGoneError: when the caller has disconnected.
         """
         outcome: Result[Exchange, SendFailure] = Err(SendFailure.no_upstream)
-        while len(question.tried) < MAX_SENDS and question.may_run_again:
-            chosen = self._choose_next(question)
+        while len(request.tried) < MAX_SENDS and request.may_run_again:
+            chosen = self._choose_next(request)
             if isinstance(chosen, Err):
                 # Once all upstreams were tried, the last failure is the reason.
                 is_exhausted = chosen.err_value is SendFailure.no_upstream
                 return outcome if is_exhausted else chosen
-            outcome = self._send_once(question, chosen.ok_value)
+            outcome = self._send_once(request, chosen.ok_value)
             if isinstance(outcome, Ok):
                 break
-            self._handle_failure(question, chosen.ok_value, outcome.err_value)
-        if isinstance(outcome, Err) and self.binder.is_refused(question):
+            self._handle_failure(request, chosen.ok_value, outcome.err_value)
+        if isinstance(outcome, Err) and self.binder.is_refused(request):
             return Err(SendFailure.condemned)
         return outcome
 
     def record_failure(
         self,
-        question: Question,
+        request: OnlineRequest,
         upstream: UpstreamState,
         failure: SendFailure,
     ) -> None:
         """Record a failed send for health checks, crash tracking and the log.
 
-        :param question: the request that was sent.
+        :param request: the request that was sent.
         :param upstream: the upstream that it was sent to.
         :param failure: what went wrong.
         :raises CallerGoneError: when the caller has disconnected, which makes
             the send fail as well.
         """
-        if question.is_gone:
+        if request.is_gone:
             raise CallerGoneError('the caller has disconnected')
         if failure is SendFailure.replaced:
-            instance = question.sends[-1].instance
+            instance = request.sends[-1].instance
             self.binder.replicas.note_replaced(upstream, instance)
             # Takes a few ms and does not show that the service is full, so it
             # does not count towards MAX_SENDS.
-            question.tried.discard(upstream.name)
+            request.tried.discard(upstream.name)
         elif failure not in HEALTH_NEUTRAL:
             record_outcome(upstream, went_well=False, now=time.monotonic())
-        question.sends[-1].outcome = failure.value
+        request.sends[-1].outcome = failure.value
         has_crashed = (
             failure in DISCONNECTS
             and self.binder.suspects.detect_crash(upstream)
         )
         if has_crashed and failure is SendFailure.lost:
-            self.binder.suspects.record_crash(question, upstream)
+            self.binder.suspects.record_crash(request, upstream)
         elif failure is SendFailure.lost:
-            self.binder.suspects.record_possible_crash(question, upstream)
+            self.binder.suspects.record_possible_crash(request, upstream)
             # If it ran alone, this may be the crash that gets it refused,
             # which is known as soon as the crash is confirmed.
-            question.is_retry_blocked = (
-                question.sends[-1].company == IsolationLevel.exclusive
+            request.is_retry_blocked = (
+                request.sends[-1].company == IsolationLevel.exclusive
             )
         log_event(
             Event.request_retried,
-            request=question.head.identity,
-            fingerprint=question.fingerprint,
+            request=request.head.identity,
+            fingerprint=request.fingerprint,
             upstream=upstream.name,
             failures=upstream.failures,
-            runs=question.runs,
-            seconds_left=round(question.seconds_left, 3),
+            runs=request.runs,
+            seconds_left=round(request.seconds_left, 3),
             why=failure.value,
             has_ended=has_crashed,
         )
 
     def _choose_next(
         self,
-        question: Question,
+        request: OnlineRequest,
     ) -> Result[UpstreamState, SendFailure]:
         """Choose the next upstream, which may take until the request is late.
 
         :returns: the upstream, or why the request is not sent again.
         """
-        obstacle = self.binder.find_obstacle(question)
+        obstacle = self.binder.find_obstacle(request)
         if obstacle is not None:
             return Err(obstacle)
-        upstream = question.next_upstream or self.binder.bind(question)
-        question.next_upstream = None
-        obstacle = self.binder.find_obstacle(question)
+        upstream = request.next_upstream or self.binder.bind(request)
+        request.next_upstream = None
+        obstacle = self.binder.find_obstacle(request)
         if obstacle is not None:
             return Err(obstacle)
         return Ok(upstream) if upstream else Err(SendFailure.no_upstream)
 
     def _handle_failure(
         self,
-        question: Question,
+        request: OnlineRequest,
         upstream: UpstreamState,
         failure: SendFailure,
     ) -> None:
@@ -156,46 +156,46 @@
 
         :raises CallerGoneError: when the caller has disconnected.
         """
-        self.record_failure(question, upstream, failure)
+        self.record_failure(request, upstream, failure)
         if failure is SendFailure.late:
-            self._back_off(question, upstream)
+            self._back_off(request, upstream)
 
     def _send_once(
         self,
-        question: Question,
+        request: OnlineRequest,
         upstream: UpstreamState,
     ) -> Result[Exchange, SendFailure]:
-        question.record_send(upstream)
+        request.record_send(upstream)
         opened = self.pool.begin(
             upstream.address,
-            question.seconds_left,
+            request.seconds_left,
             LAST_ATTEMPT_MAX_IDLE_SECONDS
-            if question.is_last_attempt
+            if request.is_last_attempt
             else LONGEST_IDLE_SECONDS,
         )
         if isinstance(opened, Err):
             return Err(SendFailure.no_connection)
         exchange = opened.ok_value
-        question.attach(upstream, exchange)
+        request.attach(upstream, exchange)
         try:
-            self._await_head(question, upstream, exchange)
+            self._await_head(request, upstream, exchange)
         except QueueLeftError as departure:
-            question.release(is_broken=True)
+            request.release(is_broken=True)
             return Err(departure.reason)
         except OSError as error:
-            question.release(is_broken=True)
+            request.release(is_broken=True)
             return Err(classify_disconnect(error))
         self.binder.reach.note_contact()
         _record_load(upstream, exchange)
-        failure = _check_head(question, upstream, exchange)
+        failure = _check_head(request, upstream, exchange)
         if failure is not None:
-            question.release(is_broken=failure is SendFailure.foreign_answer)
+            request.release(is_broken=failure is SendFailure.foreign_answer)
             return Err(failure)
         return Ok(exchange)
 
     def _await_head(
         self,
-        question: Question,
+        request: OnlineRequest,
         upstream: UpstreamState,
         exchange: Exchange,
     ) -> None:
@@ -206,17 +206,17 @@
 
         :raises QueueLeftError: when the request is to leave this upstream.
         """
-        limit = question.choose_read_timeout(has_events=False)
+        limit = request.choose_read_timeout(has_events=False)
         began = time.monotonic()
-        exchange.write(_encode(question, upstream), limit)
-        timeout = question.route.objective * waiting.MIN_QUEUE_SHARE
+        exchange.write(_encode(request, upstream), limit)
+        timeout = request.route.objective * waiting.MIN_QUEUE_SHARE
         # A suspected request has to stay where it is isolated from others.
-        may_move = question.may_run_again and not question.company
+        may_move = request.may_run_again and not request.company
         while may_move and 0 < timeout < limit:
             try:
                 exchange.await_head(timeout)
             except TimeoutError:
-                self._check_queue(question, upstream)
+                self._check_queue(request, upstream)
             else:
                 return
             timeout = waiting.CHECK_INTERVAL_SECONDS
@@ -226,63 +226,65 @@
 
     def _check_queue(
         self,
-        question: Question,
+        request: OnlineRequest,
         upstream: UpstreamState,
     ) -> None:
         """Check whether a waiting request should leave the upstream.
 
         :raises QueueLeftError: when it should.
         """
-        other = self.binder.chooser.choose(question)
+        other = self.binder.chooser.choose(request)
         if other is None:
             return
         now = time.monotonic()
         decision = waiting.decide_queued(
             upstream,
             other,
-            question.measure_wait(now),
+            request.measure_wait(now),
             now,
         )
         if decision is waiting.QueueDecision.move:
-            if self.binder.reserve_at(question, other) is Answer.refused:
+            if self.binder.reserve_at(request, other) is Answer.refused:
                 return
-            question.next_upstream = other
+            request.next_upstream = other
             raise QueueLeftError(SendFailure.queued)
         # The pause would exceed the longest gap between the events of a stream
         # that callers accept.
         if (
             decision is waiting.QueueDecision.back_off
-            and not question.first_event_at
+            and not request.first_event_at
         ):
             raise QueueLeftError(SendFailure.late)
         if decision is waiting.QueueDecision.distrust:
-            question.next_upstream = other
+            request.next_upstream = other
             raise QueueLeftError(SendFailure.silent)
 
-    def _back_off(self, question: Question, upstream: UpstreamState) -> None:
+    def _back_off(
+        self, request: OnlineRequest, upstream: UpstreamState
+    ) -> None:
         """Wait at the entry until an upstream has room, or for a time limit.
 
         :raises CallerGoneError: when the caller has disconnected.
         """
-        question.tried.discard(upstream.name)
-        limit = waiting.limit_back_off(question.seconds_left)
+        request.tried.discard(upstream.name)
+        limit = waiting.limit_back_off(request.seconds_left)
         deadline = time.monotonic() + limit
-        while time.monotonic() < deadline and not question.is_gone:
+        while time.monotonic() < deadline and not request.is_gone:
             gevent.sleep(
                 waiting.CHECK_INTERVAL_SECONDS * self.binder.draw.uniform(1, 2)
             )
-            other = self.binder.chooser.choose(question)
+            other = self.binder.chooser.choose(request)
             if other is None or not waiting.may_resend(other, time.monotonic()):
                 continue
-            if self.binder.reserve_at(question, other) is Answer.granted:
-                question.next_upstream = other
+            if self.binder.reserve_at(request, other) is Answer.granted:
+                request.next_upstream = other
                 return
-        if question.is_gone:
+        if request.is_gone:
             raise CallerGoneError('the caller has disconnected')
 
 
 def _check_head(
-    question: Question,
+    request: OnlineRequest,
     upstream: UpstreamState,
     exchange: Exchange,
 ) -> SendFailure | None:
@@ -291,31 +293,31 @@
     :returns: the failure, ``None`` where the response goes to the caller.
     """
     if ingress.has_not_run(exchange):
-        question.runs -= 1
+        request.runs -= 1
         instance = ingress.get_instance(exchange)
         if instance in {'', upstream.name}:
             return SendFailure.turned_away
-        question.sends[-1].instance = instance
+        request.sends[-1].instance = instance
         return SendFailure.replaced
-    if not ingress.is_own_answer(exchange, question.head.identity):
+    if not ingress.is_own_answer(exchange, request.head.identity):
         return SendFailure.foreign_answer
-    if not ingress.is_success(exchange) and question.may_run_again:
+    if not ingress.is_success(exchange) and request.may_run_again:
         return SendFailure.failed
     return None
 
 
-def _encode(question: Question, upstream: UpstreamState) -> bytes:
+def _encode(request: OnlineRequest, upstream: UpstreamState) -> bytes:
     send = ingress.Send(
         upstream.name,
-        question.seconds_left,
-        question.resume_after,
-        question.request.customer,
+        request.seconds_left,
+        request.resume_after,
+        request.request.customer,
     )
     return make_request(
-        question.request.method,
-        question.request.target,
-        ingress.list_onward_headers(question.request.headers, send),
-        question.body,
+        request.request.method,
+        request.request.target,
+        ingress.list_onward_headers(request.request.headers, send),
+        request.body,
     )
 
 
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.quarantine.store import QuarantineStore
-    from wigeonpier.hosted.question import Question
+    from wigeonpier.hosted.question import OnlineRequest
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.hosted.suspicionpublisher import SuspicionPublisher
     from wigeonpier.membership.ends import CrashDetector
@@ -70,28 +70,28 @@
         default_factory=lambda: deque(maxlen=MAX_POSSIBLE_CRASHES),
     )
 
-    def judge(self, question: Question) -> RunMode:
+    def judge(self, request: OnlineRequest) -> RunMode:
         """Decide how a request may run.
 
         The fingerprint is not computed while no request is suspected.
 
-        :param question: the request.
+        :param request: the request.
         :returns: how it may run.
         """
-        run_mode = self._judge_by_crashes(question)
+        run_mode = self._judge_by_crashes(request)
         # Whether the upstreams crashed is known only once they have restarted.
-        is_often_lost = question.count_losses() >= CRASHES_BEFORE_ISOLATION
+        is_often_lost = request.count_losses() >= CRASHES_BEFORE_ISOLATION
         if is_often_lost and run_mode is not RunMode.refused:
             return RunMode.alone
         return run_mode
 
-    def list_tried_versions(self, question: Question) -> set[str]:
+    def list_tried_versions(self, request: OnlineRequest) -> set[str]:
         """List the upstream versions on which a request is not tried again.
 
-        :param question: the request.
+        :param request: the request.
         :returns: versions that it crashed, empty unless it is refused.
         """
-        return self.suspicions.list_tried_versions(question.fingerprint)
+        return self.suspicions.list_tried_versions(request.fingerprint)
 
     def detect_crash(self, upstream: UpstreamState) -> bool:
         """Check whether an upstream has crashed.
@@ -104,10 +104,12 @@
             return True
         return False
 
-    def record_crash(self, question: Question, upstream: UpstreamState) -> None:
+    def record_crash(
+        self, request: OnlineRequest, upstream: UpstreamState
+    ) -> None:
         """Count a crash of an upstream against a request that ran there.
 
-        :param question: the request that was lost.
+        :param request: the request that was lost.
         :param upstream: the crashed upstream.
         """
         # An upstream that shuts down drops requests that are unfinished when
@@ -115,32 +117,32 @@
         if upstream.is_leaving:
             return
         update = self.suspicions.record_crash(
-            question.fingerprint,
+            request.fingerprint,
             upstream.start,
             upstream.version,
-            was_alone=question.sends[-1].company == IsolationLevel.exclusive,
-            had_output=question.sends[-1].had_output,
+            was_alone=request.sends[-1].company == IsolationLevel.exclusive,
+            had_output=request.sends[-1].had_output,
         )
         self.metrics.count('suspected_total')
         self.publisher.publish(update, upstream.address)
         if update.ends:
-            self.quarantine.note(question.fingerprint)
+            self.quarantine.note(request.fingerprint)
 
     def record_possible_crash(
-        self, question: Question, upstream: UpstreamState
+        self, request: OnlineRequest, upstream: UpstreamState
     ) -> None:
         """Record a lost connection to an upstream that may still be running.
 
-        :param question: the request that was lost.
+        :param request: the request that was lost.
         :param upstream: upstream to which the connection broke.
         """
         self._drop_expired()
         self.possible_crashes.append(
             PossibleCrash(
-                question.fingerprint,
+                request.fingerprint,
                 upstream.start,
-                question.sends[-1].company == IsolationLevel.exclusive,
-                question.sends[-1].had_output,
+                request.sends[-1].company == IsolationLevel.exclusive,
+                request.sends[-1].had_output,
                 time.monotonic(),
             ),
         )
@@ -167,44 +169,44 @@
                 self.quarantine.note(crash.fingerprint)
 
     def record_completion(
-        self, question: Question, upstream: UpstreamState
+        self, request: OnlineRequest, upstream: UpstreamState
     ) -> None:
         """Clear a request that ran to completion.
 
-        :param question: the request.
+        :param request: the request.
         :param upstream: upstream that ran it.
         """
         if self.suspicions.is_empty:
             return
-        update = self.suspicions.clear(question.fingerprint)
+        update = self.suspicions.clear(request.fingerprint)
         self.publisher.publish(update, upstream.address)
 
-    def record_refusal(self, question: Question) -> None:
+    def record_refusal(self, request: OnlineRequest) -> None:
         """Record that a request is refused because it crashes upstreams.
 
-        :param question: the request.
+        :param request: the request.
         """
-        self.metrics.count('condemned_total', route=question.route.name)
+        self.metrics.count('condemned_total', route=request.route.name)
         log_event(
             Event.request_refused,
-            request=question.head.identity,
-            fingerprint=question.fingerprint,
-            caller=question.request.caller,
+            request=request.head.identity,
+            fingerprint=request.fingerprint,
+            caller=request.request.caller,
         )
-        update = self.suspicions.record_repeat(question.fingerprint)
+        update = self.suspicions.record_repeat(request.fingerprint)
         self.publisher.publish(update)
         if update.kept:
-            self.quarantine.note(question.fingerprint)
+            self.quarantine.note(request.fingerprint)
 
-    def _judge_by_crashes(self, question: Question) -> RunMode:
+    def _judge_by_crashes(self, request: OnlineRequest) -> RunMode:
         if self.suspicions.is_empty:
             return RunMode.free
         versions = {
             state.version
             for state in self.replicas.list_upstreams()
-            if state.service == question.service
+            if state.service == request.service
         }
-        return self.suspicions.judge(question.fingerprint, versions)
+        return self.suspicions.judge(request.fingerprint, versions)
 
     def _drop_expired(self) -> None:
         oldest = time.monotonic() - CONFIRMATION_SECONDS
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -19,7 +19,7 @@
     from collections.abc import Iterable, Iterator
 
     from wigeonpier.hosted.chooser import UpstreamChooser
-    from wigeonpier.hosted.question import Question
+    from wigeonpier.hosted.question import OnlineRequest
     from wigeonpier.hosted.reserver import SlotReserver
     from wigeonpier.hosted.suspects import SuspectWatch
     from wigeonpier.policy.route import UpstreamState
@@ -43,62 +43,62 @@
 
     def find_place(
         self,
-        question: Question,
+        request: OnlineRequest,
         run_mode: RunMode,
     ) -> UpstreamState | None:
         """Reserve a slot for a suspected request.
 
-        :param question: the request; its isolation is set.
+        :param request: the request; its isolation is set.
         :param run_mode: how it may run.
         :returns: the upstream, ``None`` if the request has to wait.
         """
         if run_mode is RunMode.alone:
-            return self._find_exclusive(question)
+            return self._find_exclusive(request)
         return self._find_shared(
-            question,
+            request,
             IsolationLevel.admits_later,
-        ) or self._find_shared(question, IsolationLevel.shared)
+        ) or self._find_shared(request, IsolationLevel.shared)
 
-    def find_late(self, question: Question) -> UpstreamState | None:
+    def find_late(self, request: OnlineRequest) -> UpstreamState | None:
         """Reserve a slot for a suspected request that can wait no longer.
 
-        :param question: the request; its isolation is set.
+        :param request: the request; its isolation is set.
         :returns: an upstream at which no other suspected request runs alone,
             ``None`` if there is none.
         """
-        return self._find_shared(question, IsolationLevel.shared)
+        return self._find_shared(request, IsolationLevel.shared)
 
     def _find_shared(
         self,
-        question: Question,
+        request: OnlineRequest,
         isolation: IsolationLevel,
     ) -> UpstreamState | None:
-        return self._try_each(
-            question, self._draw_upstreams(question), isolation
-        )
+        return self._try_each(request, self._draw_upstreams(request), isolation)
 
-    def _find_exclusive(self, question: Question) -> UpstreamState | None:
+    def _find_exclusive(self, request: OnlineRequest) -> UpstreamState | None:
         """Reserve a slot where the request runs alone.
 
         All entries try the same upstream first for the same request, so that
         the worker there sees all its repeats and admits one at a time.
         """
-        tried = self.suspects.list_tried_versions(question)
+        tried = self.suspects.list_tried_versions(request)
         usable = {
             state.name: state
-            for state in self.chooser.list_candidates(question)
+            for state in self.chooser.list_candidates(request)
             if state.version not in tried
         }
-        ranked = rank_by_key(list(usable), question.fingerprint)[
+        ranked = rank_by_key(list(usable), request.fingerprint)[
             :MAX_RESERVATION_ATTEMPTS
         ]
         upstreams = (usable[name] for name in ranked)
-        return self._try_each(question, upstreams, IsolationLevel.exclusive)
+        return self._try_each(request, upstreams, IsolationLevel.exclusive)
 
-    def _draw_upstreams(self, question: Question) -> Iterator[UpstreamState]:
+    def _draw_upstreams(
+        self, request: OnlineRequest
+    ) -> Iterator[UpstreamState]:
         excluded: set[str] = set()
         while len(excluded) < MAX_RESERVATION_ATTEMPTS:
-            upstream = self.chooser.choose(question, excluded)
+            upstream = self.chooser.choose(request, excluded)
             if upstream is None:
                 return
             excluded.add(upstream.name)
@@ -106,25 +106,25 @@
 
     def _try_each(
         self,
-        question: Question,
+        request: OnlineRequest,
         upstreams: Iterable[UpstreamState],
         isolation: IsolationLevel,
     ) -> UpstreamState | None:
-        trial = TrialAsk(question.fingerprint, isolation.value)
+        trial = TrialAsk(request.fingerprint, isolation.value)
         unanswered = None
         for upstream in upstreams:
             answer = self.reserver.ask(
                 upstream,
                 max(
-                    question.route.objective * RESERVATION_TIMEOUT_SHARE,
+                    request.route.objective * RESERVATION_TIMEOUT_SHARE,
                     MIN_RESERVATION_TIMEOUT_SECONDS,
                 ),
                 is_late=False,
                 trial=trial,
             )
-            question.asks += 1
+            request.asks += 1
             if answer is Answer.granted:
-                question.company = isolation.value
+                request.company = isolation.value
                 return upstream
             if answer is Answer.running:
                 return None
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -20,7 +20,7 @@
 from wigeonpier.hosted.chooser import UpstreamChooser
 from wigeonpier.hosted.common import Common
 from wigeonpier.hosted.entry import EntryApp
-from wigeonpier.hosted.question import Question
+from wigeonpier.hosted.question import OnlineRequest
 from wigeonpier.hosted.reserver import Answer
 from wigeonpier.hosted.sender import (
     QuestionSender,
@@ -148,12 +148,14 @@
     return OpenJob(**(fields | changes))
 
 
-def make_question(*, waited: float = 0, has_begun: bool = False) -> Question:
+def make_online_request(
+    *, waited: float = 0, has_begun: bool = False
+) -> OnlineRequest:
     """Make a resumable request that arrived some seconds ago."""
     now = time.monotonic()
     content = msgspec.json.encode(make_configuration())
     route = decode_configuration(content).routes[0]
-    return Question(
+    return OnlineRequest(
         request=Request('POST', '/ask/a', '', {}, None, target='/ask/a'),
         head=QuestionHead('q1', HOST, 5.0, (), ''),
         route=route,
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from tests.builders import build_upstream
-from tests.hosted.builders import SERVICE, make_question, make_sender
+from tests.hosted.builders import SERVICE, make_online_request, make_sender
 from wigeonpier.hosted.failures import (
     QueueLeftError,
     SendFailure,
@@ -45,22 +45,22 @@
     """
     sender = build_sender(12, 12)
     current = sender.binder.replicas.list_upstreams()[0]
-    question = make_question(waited=1.0, has_begun=has_begun)
-    question.record_send(current)
+    request = make_online_request(waited=1.0, has_begun=has_begun)
+    request.record_send(current)
     if has_begun:
-        sender._check_queue(question, current)
+        sender._check_queue(request, current)
         return
     with pytest.raises(QueueLeftError) as raised:
-        sender._check_queue(question, current)
+        sender._check_queue(request, current)
     assert raised.value.reason is SendFailure.late
 
 
 def test_a_request_without_another_upstream_stays() -> None:
     sender = build_sender(12)
     current = sender.binder.replicas.list_upstreams()[0]
-    question = make_question(waited=1.0)
-    question.record_send(current)
-    sender._check_queue(question, current)
+    request = make_online_request(waited=1.0)
+    request.record_send(current)
+    sender._check_queue(request, current)
 
 
 def test_a_request_that_times_out_during_a_reservation_is_not_sent() -> None:
@@ -72,14 +72,14 @@
         return Answer.granted
 
     sender.binder.reserver = SimpleNamespace(ask=ask)
-    question = make_question()
-    question.give_up_at = time.monotonic() + 0.01
-    assert sender.send(question) == Err(SendFailure.no_time)
-    assert not question.sends
+    request = make_online_request()
+    request.give_up_at = time.monotonic() + 0.01
+    assert sender.send(request) == Err(SendFailure.no_time)
+    assert not request.sends
 
 
 def test_a_request_without_any_upstream_fails_at_once() -> None:
     sender = build_sender()
     started_at = time.monotonic()
-    assert sender.send(make_question()) == Err(SendFailure.no_upstream)
+    assert sender.send(make_online_request()) == Err(SendFailure.no_upstream)
     assert time.monotonic() - started_at < 0.1
