--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -54,7 +54,7 @@
 class OnlineRequest:
     """One online request, from its arrival to the end of its response.
 
-    :param request: the HTTP request.
+    :param http_request: the HTTP request.
     :param head: its parsed headers.
     :param route: its route.
     :param service: service that was drawn for it.
@@ -81,7 +81,7 @@
     :param watcher: detects that the caller closes its connection.
     """
 
-    request: Request
+    http_request: Request
     head: QuestionHead
     route: ServedRoute
     service: str
@@ -110,10 +110,10 @@
         if not self._fingerprint:
             self._fingerprint = digest_request(
                 self.head.host,
-                self.request.method,
-                self.request.target,
+                self.http_request.method,
+                self.http_request.target,
                 self.body,
-                self.request.customer,
+                self.http_request.customer,
             )
         return self._fingerprint
 
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -109,7 +109,7 @@
         route = arrival.route
         timeout = arrival.head.seconds or DEFAULT_TIMEOUT_SECONDS
         return OnlineRequest(
-            request=arrival.request,
+            http_request=arrival.request,
             head=arrival.head,
             route=route,
             service=choose_service(route, self._rng),
@@ -233,7 +233,7 @@
             log_event(
                 Event.request_done,
                 request=request.head.identity,
-                caller=request.request.caller,
+                caller=request.http_request.caller,
                 fingerprint=request.fingerprint,
                 route=route,
                 version=self._configuration.get_version(),
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -311,12 +311,12 @@
         upstream.name,
         request.seconds_left,
         request.resume_after,
-        request.request.customer,
+        request.http_request.customer,
     )
     return make_request(
-        request.request.method,
-        request.request.target,
-        ingress.list_onward_headers(request.request.headers, send),
+        request.http_request.method,
+        request.http_request.target,
+        ingress.list_onward_headers(request.http_request.headers, send),
         request.body,
     )
 
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -191,7 +191,7 @@
             Event.request_refused,
             request=request.head.identity,
             fingerprint=request.fingerprint,
-            caller=request.request.caller,
+            caller=request.http_request.caller,
         )
         update = self.suspicions.record_repeat(request.fingerprint)
         self.publisher.publish(update)
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -156,7 +156,7 @@
     content = msgspec.json.encode(make_configuration())
     route = decode_configuration(content).routes[0]
     return OnlineRequest(
-        request=Request('POST', '/ask/a', '', {}, None, target='/ask/a'),
+        http_request=Request('POST', '/ask/a', '', {}, None, target='/ask/a'),
         head=QuestionHead('q1', HOST, 5.0, (), ''),
         route=route,
         service=SERVICE,
