--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -32,7 +32,7 @@
 from wigeonpier.hosted.replicas import ReplicaRegister
 from wigeonpier.hosted.reserver import SlotReserver
 from wigeonpier.hosted.sender import (
-    QuestionSender,
+    RequestSender,
 )
 from wigeonpier.hosted.suspectpage import SuspectPage
 from wigeonpier.hosted.suspects import SuspectWatch
@@ -226,7 +226,7 @@
             *customers.make_routes(),
         )
 
-    def _make_sender(self) -> QuestionSender:
+    def _make_sender(self) -> RequestSender:
         common = self._common
         chooser = UpstreamChooser(common.settings, self._replicas, common.draw)
         reserver = SlotReserver(
@@ -253,7 +253,7 @@
             suspects,
             TrialPlacer(chooser, reserver, suspects),
         )
-        return QuestionSender(binder, common.pool)
+        return RequestSender(binder, common.pool)
 
     def _record_load(self, host: str, load: OnlineLoad) -> None:
         self._reach.note_contact()
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -32,7 +32,7 @@
     from wigeonpier.hosted.configuration import ConfigurationWatch
     from wigeonpier.hosted.customeruse import CustomerLimiter
     from wigeonpier.hosted.sender import (
-        QuestionSender,
+        RequestSender,
     )
     from wigeonpier.policy.route import UpstreamState
     from wigeonpier.telemetry.metrics import Metrics
@@ -63,7 +63,7 @@
     def __init__(
         self,
         configuration: ConfigurationWatch,
-        sender: QuestionSender,
+        sender: RequestSender,
         metrics: Metrics,
         rng: random.Random,
         limiter: CustomerLimiter,
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class QuestionSender:
+class RequestSender:
     """Sends requests to upstreams.
 
     :param binder: chooses the upstreams.
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -23,7 +23,7 @@
 from wigeonpier.hosted.question import OnlineRequest
 from wigeonpier.hosted.reserver import Answer
 from wigeonpier.hosted.sender import (
-    QuestionSender,
+    RequestSender,
 )
 from wigeonpier.hosted.storage import StorageApp
 from wigeonpier.hosted.suspects import SuspectWatch
@@ -168,7 +168,7 @@
     )
 
 
-def make_sender(states: list[UpstreamState]) -> QuestionSender:
+def make_sender(states: list[UpstreamState]) -> RequestSender:
     """Make a sender for these upstreams; each one grants a slot."""
     rng = random.Random(1)
     pool = ConnectionPool()
@@ -199,7 +199,7 @@
         suspects,
         TrialPlacer(chooser, reserver, suspects),
     )
-    return QuestionSender(binder, pool)
+    return RequestSender(binder, pool)
 
 
 def wait_for(condition: Callable[[], object], what: str) -> None:
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -21,11 +21,11 @@
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.sender import (
-        QuestionSender,
+        RequestSender,
     )
 
 
-def build_sender(*loads: int) -> QuestionSender:
+def build_sender(*loads: int) -> RequestSender:
     """Make a sender for upstreams of 8 slots with these fresh loads."""
     now = time.monotonic()
     states = [
