--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -146,8 +146,8 @@
         now = time.monotonic()
         if request.first_event_at and self._is_suspected(request):
             return now + ISOLATED_HOLD_SECONDS
-        return request.began_at + reservation.limit_hold(
-            request.give_up_at - request.began_at,
+        return request.received_at + reservation.limit_hold(
+            request.deadline - request.received_at,
             has_begun=bool(request.first_event_at),
         )
 
@@ -204,5 +204,5 @@
         return None if has_refusal else self.chooser.choose(request)
 
     def _measure_waited_share(self, request: OnlineRequest) -> float:
-        waited = time.monotonic() - request.began_at
+        waited = time.monotonic() - request.received_at
         return waited / request.route.objective
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -59,8 +59,8 @@
     :param route: its route.
     :param service: service that was drawn for it.
     :param body: its body.
-    :param began_at: when it was received, seconds of the monotonic clock.
-    :param give_up_at: the caller's deadline or the route's time-out, whichever
+    :param received_at: when it was received, seconds of the monotonic clock.
+    :param deadline: the caller's deadline or the route's time-out, whichever
         is earlier, seconds of the monotonic clock.
     :param resume_after: id of the last event that the caller has, or empty.
     :param tried: names of the upstreams that it was sent to.
@@ -86,8 +86,8 @@
     route: ServedRoute
     service: str
     body: bytes
-    began_at: float
-    give_up_at: float
+    received_at: float
+    deadline: float
     resume_after: str
     tried: set[str] = field(default_factory=set)
     runs: int = 0
@@ -119,8 +119,8 @@
 
     @property
     def seconds_left(self) -> float:
-        """Give the time left until ``give_up_at``, in seconds."""
-        return self.give_up_at - time.monotonic()
+        """Give the time left until ``deadline``, in seconds."""
+        return self.deadline - time.monotonic()
 
     @property
     def is_last_attempt(self) -> bool:
@@ -162,7 +162,7 @@
         :param now: seconds of the monotonic clock.
         :returns: waiting times as shares of the route's latency objective.
         """
-        total = now - self.began_at
+        total = now - self.received_at
         here = total - self.sends[-1].at
         objective = self.route.objective
         return QueueTime(total / objective, here / objective)
@@ -181,7 +181,7 @@
                 upstream.in_flight,
                 upstream.reported,
                 round(now - upstream.reported_at, 3),
-                round(now - self.began_at, 3),
+                round(now - self.received_at, 3),
                 self.company,
             ),
         )
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -114,8 +114,8 @@
             route=route,
             service=choose_service(route, self._rng),
             body=arrival.request.read_body(),
-            began_at=now,
-            give_up_at=now + min(timeout, route.timeout),
+            received_at=now,
+            deadline=now + min(timeout, route.timeout),
             resume_after=arrival.head.resume_after,
             priority=arrival.priority,
         )
@@ -226,7 +226,7 @@
         request.release()
         outcome = 'caller gone' if request.is_gone else outcome
         route = request.route.name
-        seconds = time.monotonic() - request.began_at
+        seconds = time.monotonic() - request.received_at
         self._metrics.count('questions_total', route=route, outcome=outcome)
         self._metrics.observe('question', seconds, route=route)
         if _is_logged(request, outcome):
@@ -250,7 +250,7 @@
     """Tell whether to log a finished request; ordinary ones are sampled."""
     if outcome != 'answered' or len(request.sends) > 1:
         return True
-    latency = request.first_event_at - request.began_at
+    latency = request.first_event_at - request.received_at
     if latency > request.route.objective:
         return True
     digest = xxhash.xxh3_64_intdigest(request.head.identity.encode())
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -161,8 +161,8 @@
         route=route,
         service=SERVICE,
         body=b'{}',
-        began_at=now - waited,
-        give_up_at=now - waited + route.timeout,
+        received_at=now - waited,
+        deadline=now - waited + route.timeout,
         resume_after='',
         first_event_at=now if has_begun else 0,
     )
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -73,7 +73,7 @@
 
     sender.binder.reserver = SimpleNamespace(ask=ask)
     request = make_online_request()
-    request.give_up_at = time.monotonic() + 0.01
+    request.deadline = time.monotonic() + 0.01
     assert sender.send(request) == Err(SendFailure.no_time)
     assert not request.sends
 
