--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -131,7 +131,7 @@
                 self._measure_waited_share(request)
             )
             gevent.sleep(pause * self.draw.uniform(*PAUSE_JITTER))
-            if request.is_gone:
+            if request.is_abandoned:
                 raise CallerGoneError('the caller has left')
 
     def _try_reserve_in_turn(
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -74,7 +74,7 @@
     :param asks: number of slot reservations requested for it.
     :param first_event_at: when the first event was forwarded, seconds of the
         monotonic clock; 0 before.
-    :param is_gone: whether the caller has disconnected.
+    :param is_abandoned: whether the caller has disconnected.
     :param is_retry_blocked: whether it may not run again until the cause of
         its last failure is known.
     :param priority: rank among waiting requests, 0 is the highest.
@@ -98,7 +98,7 @@
     sends: list[SendRecord] = field(default_factory=list)
     asks: int = 0
     first_event_at: float = 0
-    is_gone: bool = False
+    is_abandoned: bool = False
     is_retry_blocked: bool = False
     priority: int = 0
     watcher: gevent.Greenlet[..., None] | None = None
@@ -214,6 +214,6 @@
 
     def abandon(self) -> None:
         """Cancel the request at the upstream after the caller disconnected."""
-        self.is_gone = True
+        self.is_abandoned = True
         if self.exchange is not None:
             self.exchange.abort()
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -224,7 +224,7 @@
         if request.watcher is not None:
             request.watcher.kill(block=False)
         request.release()
-        outcome = 'caller gone' if request.is_gone else outcome
+        outcome = 'caller gone' if request.is_abandoned else outcome
         route = request.route.name
         seconds = time.monotonic() - request.received_at
         self._metrics.count('questions_total', route=route, outcome=outcome)
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -92,7 +92,7 @@
         :raises CallerGoneError: when the caller has disconnected, which makes
             the send fail as well.
         """
-        if request.is_gone:
+        if request.is_abandoned:
             raise CallerGoneError('the caller has disconnected')
         if failure is SendFailure.replaced:
             instance = request.sends[-1].instance
@@ -269,7 +269,7 @@
         request.tried.discard(upstream.name)
         limit = waiting.limit_back_off(request.seconds_left)
         deadline = time.monotonic() + limit
-        while time.monotonic() < deadline and not request.is_gone:
+        while time.monotonic() < deadline and not request.is_abandoned:
             gevent.sleep(
                 waiting.CHECK_INTERVAL_SECONDS * self.binder.draw.uniform(1, 2)
             )
@@ -279,7 +279,7 @@
             if self.binder.reserve_at(request, other) is Answer.granted:
                 request.next_upstream = other
                 return
-        if request.is_gone:
+        if request.is_abandoned:
             raise CallerGoneError('the caller has disconnected')
 
 
