--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -109,7 +109,7 @@
         :param upstream: the upstream.
         :returns: whether a slot is reserved.
         """
-        request.asks += 1
+        request.reservation_attempts += 1
         return self.reserver.ask(
             upstream,
             request.route.objective * reservation.RESERVATION_TIMEOUT_SHARE,
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -71,7 +71,7 @@
         upstream, empty if the request is not suspected itself.
     :param exchange: exchange with the current upstream.
     :param sends: its sends, for the log.
-    :param asks: number of slot reservations requested for it.
+    :param reservation_attempts: number of slot reservations requested for it.
     :param first_event_at: when the first event was forwarded, seconds of the
         monotonic clock; 0 before.
     :param is_abandoned: whether the caller has disconnected.
@@ -96,7 +96,7 @@
     company: str = ''
     exchange: Exchange | None = None
     sends: list[SendRecord] = field(default_factory=list)
-    asks: int = 0
+    reservation_attempts: int = 0
     first_event_at: float = 0
     is_abandoned: bool = False
     is_retry_blocked: bool = False
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -239,7 +239,7 @@
                 version=self._configuration.get_version(),
                 outcome=outcome,
                 sends=[asdict(send) for send in request.sends],
-                asks=request.asks,
+                asks=request.reservation_attempts,
                 runs=request.runs,
                 last_event=request.resume_after,
                 seconds=round(seconds, 3),
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -122,7 +122,7 @@
                 is_late=False,
                 trial=trial,
             )
-            request.asks += 1
+            request.reservation_attempts += 1
             if answer is Answer.granted:
                 request.company = isolation.value
                 return upstream
