--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -68,7 +68,7 @@
         :returns: the upstream, ``None`` if there is none.
         :raises CallerGoneError: if the caller has disconnected meanwhile.
         """
-        request.company = ''
+        request.isolation = ''
         if not self._needs_slot(request):
             return self.chooser.choose(request)
         self.gate.add(request.priority)
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -67,7 +67,7 @@
     :param runs: sends that may have run.
     :param upstream: upstream that processes it now.
     :param next_upstream: upstream chosen for the next send, if any.
-    :param company: which other suspected requests are allowed at the next
+    :param isolation: which other suspected requests are allowed at the next
         upstream, empty if the request is not suspected itself.
     :param exchange: exchange with the current upstream.
     :param sends: its sends, for the log.
@@ -93,7 +93,7 @@
     runs: int = 0
     upstream: UpstreamState | None = None
     next_upstream: UpstreamState | None = None
-    company: str = ''
+    isolation: str = ''
     exchange: Exchange | None = None
     sends: list[SendRecord] = field(default_factory=list)
     reservation_attempts: int = 0
@@ -182,7 +182,7 @@
                 upstream.reported,
                 round(now - upstream.reported_at, 3),
                 round(now - self.received_at, 3),
-                self.company,
+                self.isolation,
             ),
         )
 
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -211,7 +211,7 @@
         exchange.write(_encode(request, upstream), limit)
         timeout = request.route.objective * waiting.MIN_QUEUE_SHARE
         # A suspected request has to stay where it is isolated from others.
-        may_move = request.may_run_again and not request.company
+        may_move = request.may_run_again and not request.isolation
         while may_move and 0 < timeout < limit:
             try:
                 exchange.await_head(timeout)
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -124,7 +124,7 @@
             )
             request.reservation_attempts += 1
             if answer is Answer.granted:
-                request.company = isolation.value
+                request.isolation = isolation.value
                 return upstream
             if answer is Answer.running:
                 return None
