--- a/src/wigeonpier/hosted/arrival.py
+++ b/src/wigeonpier/hosted/arrival.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class RoutedRequest:
     """A request with its route and customer.
 
     :param request: the HTTP request, without the key and with the limit of
@@ -53,7 +53,7 @@
     request: Request,
     configuration: ServedConfiguration | None,
     freshness: Freshness,
-) -> Arrival:
+) -> RoutedRequest:
     """Parse the headers of a request, find its route and authenticate it.
 
     :param request: the request; its key is removed and its customer set.
@@ -77,7 +77,7 @@
         freshness,
     )
     request.customer = customer.name if customer else ''
-    return Arrival(request, head, route, customer)
+    return RoutedRequest(request, head, route, customer)
 
 
 def authenticate_job_call(
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -323,12 +323,12 @@
                     self._knowledge.measure(),
                 )
                 return call(request, found.group(1))
-        arrival = route_request(
+        routed = route_request(
             request,
             self._configuration.current,
             self._knowledge.measure(),
         )
         self._check_isolation()
-        if arrival.route.kind is RouteKind.batch:
-            return self._jobs.hand_in(arrival)
-        return self._online_handler.answer(arrival)
+        if routed.route.kind is RouteKind.batch:
+            return self._jobs.hand_in(routed)
+        return self._online_handler.answer(routed)
--- a/src/wigeonpier/hosted/jobs.py
+++ b/src/wigeonpier/hosted/jobs.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.acceptance import JobAcceptor
-    from wigeonpier.hosted.arrival import Arrival
+    from wigeonpier.hosted.arrival import RoutedRequest
     from wigeonpier.hosted.ledger import JobLedger
     from wigeonpier.hosted.reader import JobReader
     from wigeonpier.hosted.views import JobViews
@@ -53,14 +53,14 @@
         self._reader = reader
         self._metrics = metrics
 
-    def hand_in(self, arrival: Arrival) -> Response:
+    def hand_in(self, routed: RoutedRequest) -> Response:
         """Accept a job; repeated submissions are accepted only once.
 
-        :param arrival: the caller's request with its route.
+        :param routed: the caller's request with its route.
         :returns: 202 once the job is stored.
         """
         started_at = time.monotonic()
-        job = _parse_job(arrival)
+        job = _parse_job(routed)
         try:
             outcome = self._acceptor.accept(job)
         except Refusal as refusal:
@@ -70,7 +70,7 @@
         log_event(
             Event.job_accepted,
             job=job.name,
-            route=arrival.route.name,
+            route=routed.route.name,
             items=len(job.items),
             tokens=job.tokens,
             place=outcome.value,
@@ -143,22 +143,22 @@
         return view.cut_page(after)
 
 
-def _parse_job(arrival: Arrival) -> SubmittedJob:
-    name = arrival.head.identity
+def _parse_job(routed: RoutedRequest) -> SubmittedJob:
+    name = routed.head.identity
     if not name or '/' in name:
         raise Refusal(ErrorKind.invalid_request, f'{name!r} is no id of a job')
     try:
-        items = jobbodies.decode_items(arrival.request.read_body())
+        items = jobbodies.decode_items(routed.request.read_body())
     except (ValueError, msgspec.DecodeError) as error:
         raise Refusal(ErrorKind.invalid_request, str(error)) from error
-    customer = arrival.request.customer
+    customer = routed.request.customer
     return SubmittedJob(
         scope_job(customer, name),
-        arrival.head.host,
-        arrival.route,
+        routed.head.host,
+        routed.route,
         items,
         customer,
-        arrival.priority,
+        routed.priority,
     )
 
 
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -28,7 +28,7 @@
     import random
     from collections.abc import Generator, Iterator
 
-    from wigeonpier.hosted.arrival import Arrival
+    from wigeonpier.hosted.arrival import RoutedRequest
     from wigeonpier.hosted.configuration import ConfigurationWatch
     from wigeonpier.hosted.customeruse import CustomerLimiter
     from wigeonpier.hosted.sender import (
@@ -82,42 +82,42 @@
         self._metrics = metrics
         self._rng = rng
 
-    def answer(self, arrival: Arrival) -> Response:
+    def answer(self, routed: RoutedRequest) -> Response:
         """Answer one request.
 
-        :param arrival: the request with its route and customer.
+        :param routed: the request with its route and customer.
         :returns: the upstream's response.
         :raises Refusal: when no upstream responds or the limit is reached.
         """
-        request = self._make_request(arrival)
-        if arrival.customer is not None:
-            self._limiter.admit(arrival.customer, arrival.head.identity)
+        request = self._make_request(routed)
+        if routed.customer is not None:
+            self._limiter.admit(routed.customer, routed.head.identity)
         request.watcher = watch_close(
-            arrival.request.connection,
+            routed.request.connection,
             request.abandon,
         )
         try:
             return self._answer(request)
         except BaseException as error:
-            if arrival.customer is not None and not request.runs:
-                self._limiter.refund(arrival.customer)
+            if routed.customer is not None and not request.runs:
+                self._limiter.refund(routed.customer)
             self._finish(request, type(error).__name__)
             raise
 
-    def _make_request(self, arrival: Arrival) -> OnlineRequest:
+    def _make_request(self, routed: RoutedRequest) -> OnlineRequest:
         now = time.monotonic()
-        route = arrival.route
-        timeout = arrival.head.seconds or DEFAULT_TIMEOUT_SECONDS
+        route = routed.route
+        timeout = routed.head.seconds or DEFAULT_TIMEOUT_SECONDS
         return OnlineRequest(
-            http_request=arrival.request,
-            head=arrival.head,
+            http_request=routed.request,
+            head=routed.head,
             route=route,
             service=choose_service(route, self._rng),
-            body=arrival.request.read_body(),
+            body=routed.request.read_body(),
             received_at=now,
             deadline=now + min(timeout, route.timeout),
-            resume_after=arrival.head.resume_after,
-            priority=arrival.priority,
+            resume_after=routed.head.resume_after,
+            priority=routed.priority,
         )
 
     def _answer(self, request: OnlineRequest) -> Response:
