--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -23,7 +23,7 @@
     from wigeonpier.hosted.reach import Reach
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.hosted.reserver import SlotReserver
-    from wigeonpier.hosted.suspects import SuspectWatch
+    from wigeonpier.hosted.suspects import SuspectTracker
     from wigeonpier.hosted.trials import TrialPlacer
     from wigeonpier.policy.route import UpstreamState
 
@@ -53,7 +53,7 @@
     draw: random.Random
     reach: Reach
     reserver: SlotReserver
-    suspects: SuspectWatch
+    suspects: SuspectTracker
     trials: TrialPlacer
     gate: PriorityGate = field(default_factory=PriorityGate)
 
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -35,7 +35,7 @@
     RequestSender,
 )
 from wigeonpier.hosted.suspectpage import SuspectPage
-from wigeonpier.hosted.suspects import SuspectWatch
+from wigeonpier.hosted.suspects import SuspectTracker
 from wigeonpier.hosted.suspicionpublisher import SuspicionPublisher
 from wigeonpier.hosted.trials import TrialPlacer
 from wigeonpier.hosted.views import JobViews
@@ -235,7 +235,7 @@
             common.metrics,
             self._limiter,
         )
-        suspects = SuspectWatch(
+        suspects = SuspectTracker(
             self._suspicions,
             self._publisher,
             CrashDetector(common.pool),
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SuspectWatch:
+class SuspectTracker:
     """Decides how requests may run, from the crashes seen under them.
 
     :param suspicions: table of suspected requests.
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -21,7 +21,7 @@
     from wigeonpier.hosted.chooser import UpstreamChooser
     from wigeonpier.hosted.question import OnlineRequest
     from wigeonpier.hosted.reserver import SlotReserver
-    from wigeonpier.hosted.suspects import SuspectWatch
+    from wigeonpier.hosted.suspects import SuspectTracker
     from wigeonpier.policy.route import UpstreamState
 
 # For routes without a latency objective.
@@ -39,7 +39,7 @@
 
     chooser: UpstreamChooser
     reserver: SlotReserver
-    suspects: SuspectWatch
+    suspects: SuspectTracker
 
     def find_place(
         self,
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -26,7 +26,7 @@
     RequestSender,
 )
 from wigeonpier.hosted.storage import StorageApp
-from wigeonpier.hosted.suspects import SuspectWatch
+from wigeonpier.hosted.suspects import SuspectTracker
 from wigeonpier.hosted.suspicionpublisher import SuspicionPublisher
 from wigeonpier.hosted.trials import TrialPlacer
 from wigeonpier.hosted.worker import WorkerApp
@@ -182,7 +182,7 @@
     chooser = UpstreamChooser(settings, replicas, rng)
     reserver = SimpleNamespace(ask=lambda *_given, **_named: Answer.granted)
     suspicions = Suspicions()
-    suspects = SuspectWatch(
+    suspects = SuspectTracker(
         suspicions,
         SuspicionPublisher(suspicions, replicas, pool, 1, rng),
         CrashDetector(pool),
