--- a/src/wigeonpier/entry/suspects.py
+++ b/src/wigeonpier/entry/suspects.py
@@ -59,4 +59,6 @@
     def _judge(self, pending: PendingRequest) -> RunMode:
         if self.suspicions.is_empty:
             return RunMode.free
-        return self.suspicions.judge(pending.compute_fingerprint(), NO_VERSION)
+        return self.suspicions.get_run_mode(
+            pending.compute_fingerprint(), NO_VERSION
+        )
--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -96,7 +96,7 @@
         :param request: the request.
         :returns: true if it crashes upstreams.
         """
-        return self.suspects.judge(request) is RunMode.refused
+        return self.suspects.get_run_mode(request) is RunMode.refused
 
     def reserve_at(
         self,
@@ -161,7 +161,7 @@
         return self.chooser.choose(request)
 
     def _is_suspected(self, request: OnlineRequest) -> bool:
-        return self.suspects.judge(request) is not RunMode.free
+        return self.suspects.get_run_mode(request) is not RunMode.free
 
     def _needs_slot(self, request: OnlineRequest) -> bool:
         """Check whether a request is held until a slot is reserved."""
@@ -169,7 +169,7 @@
 
     def _find_slot(self, request: OnlineRequest) -> UpstreamState | None:
         """Reserve a slot, apart from other suspects if it is suspected."""
-        run_mode = self.suspects.judge(request)
+        run_mode = self.suspects.get_run_mode(request)
         if run_mode is RunMode.free:
             return self._reserve(request)
         return self.trials.find_place(request, run_mode)
--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -144,4 +144,4 @@
         if self.suspicions.is_empty or self.upstream.replica is None:
             return RunMode.free
         versions = {self.upstream.replica.version}
-        return self.suspicions.judge(work.fingerprint, versions)
+        return self.suspicions.get_run_mode(work.fingerprint, versions)
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -70,7 +70,7 @@
         default_factory=lambda: deque(maxlen=MAX_POSSIBLE_CRASHES),
     )
 
-    def judge(self, request: OnlineRequest) -> RunMode:
+    def get_run_mode(self, request: OnlineRequest) -> RunMode:
         """Decide how a request may run.
 
         The fingerprint is not computed while no request is suspected.
@@ -78,7 +78,7 @@
         :param request: the request.
         :returns: how it may run.
         """
-        run_mode = self._judge_by_crashes(request)
+        run_mode = self._get_run_mode_by_crashes(request)
         # Whether the upstreams crashed is known only once they have restarted.
         is_often_lost = request.count_losses() >= CRASHES_BEFORE_ISOLATION
         if is_often_lost and run_mode is not RunMode.refused:
@@ -198,7 +198,7 @@
         if update.kept:
             self.quarantine.note(request.fingerprint)
 
-    def _judge_by_crashes(self, request: OnlineRequest) -> RunMode:
+    def _get_run_mode_by_crashes(self, request: OnlineRequest) -> RunMode:
         if self.suspicions.is_empty:
             return RunMode.free
         versions = {
@@ -206,7 +206,7 @@
             for state in self.replicas.list_upstreams()
             if state.service == request.service
         }
-        return self.suspicions.judge(request.fingerprint, versions)
+        return self.suspicions.get_run_mode(request.fingerprint, versions)
 
     def _drop_expired(self) -> None:
         oldest = time.monotonic() - CONFIRMATION_SECONDS
--- a/src/wigeonpier/local/suspects.py
+++ b/src/wigeonpier/local/suspects.py
@@ -89,7 +89,7 @@
         if self.suspicions.is_empty:
             return None
         fingerprint = _get_fingerprint(request, body)
-        run_mode = self.suspicions.judge(fingerprint, NO_VERSION)
+        run_mode = self.suspicions.get_run_mode(fingerprint, NO_VERSION)
         if run_mode is RunMode.free:
             return None
         if run_mode is RunMode.refused:
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -62,7 +62,7 @@
         """Check whether there are no suspects, so that look-ups are skipped."""
         return not self.suspects
 
-    def judge(self, fingerprint: str, versions: Set[str]) -> RunMode:
+    def get_run_mode(self, fingerprint: str, versions: Set[str]) -> RunMode:
         """Decide how a request may be run.
 
         :param fingerprint: the request.
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -216,7 +216,7 @@
     culprit = find_culprit(site)
     wait_for(
         lambda: all(
-            entry._suspicions.judge(culprit, VERSIONS) is RunMode.free
+            entry._suspicions.get_run_mode(culprit, VERSIONS) is RunMode.free
             for entry in site.entries
         ),
         'it is cleared',
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -23,8 +23,8 @@
     second = Suspicions()
     confirm_culprit(first)
     second.merge(first.describe())
-    assert second.judge('culprit', V1) is RunMode.refused
-    assert second.judge('other', V1) is RunMode.free
+    assert second.get_run_mode('culprit', V1) is RunMode.refused
+    assert second.get_run_mode('other', V1) is RunMode.free
 
 
 def test_merge_returns_update_only_once() -> None:
@@ -45,7 +45,7 @@
         ends=(CrashReport('q', 'j', 'v1', 5, was_alone=False),)
     )
     suspicions.merge(late)
-    assert suspicions.judge('q', V1) is RunMode.free
+    assert suspicions.get_run_mode('q', V1) is RunMode.free
     suspicions.record_crash('q', 'k', 'v1', was_alone=False)
 
 
@@ -56,9 +56,9 @@
             'innocent', f'i-{number}', 'v1', was_alone=False
         )
     confirm_culprit(suspicions)
-    assert suspicions.judge('innocent', V1) is RunMode.free
+    assert suspicions.get_run_mode('innocent', V1) is RunMode.free
     suspicions.record_crash('innocent', 'i-2', 'v1', was_alone=True)
-    assert suspicions.judge('innocent', V1) is RunMode.free
+    assert suspicions.get_run_mode('innocent', V1) is RunMode.free
 
 
 def test_log_returns_changes_or_whole_state_to_late_follower() -> None:
@@ -86,7 +86,7 @@
     for number in range(20):
         suspicions.record_crash(f'q{number}', 'j', 'v1', was_alone=False)
     assert len(suspicions.suspects) == 8
-    assert suspicions.judge('culprit', V1) is RunMode.refused
+    assert suspicions.get_run_mode('culprit', V1) is RunMode.refused
 
 
 def test_confirmed_culprit_overrides_local_evidence() -> None:
@@ -96,15 +96,15 @@
     confirm_culprit(first)
     crashes = SuspicionUpdate(first.describe().ends)
     second.merge(crashes)
-    assert second.judge('culprit', V1) is RunMode.alone
+    assert second.get_run_mode('culprit', V1) is RunMode.alone
     second.merge(first.describe())
-    assert second.judge('culprit', V1) is RunMode.refused
+    assert second.get_run_mode('culprit', V1) is RunMode.refused
 
 
 def test_unrelated_crash_requires_second_crash_alone() -> None:
     suspicions = Suspicions()
     suspicions.record_crash('other', 'j', 'v1', was_alone=False)
     confirm_culprit(suspicions)
-    assert suspicions.judge('culprit', V1) is RunMode.alone
+    assert suspicions.get_run_mode('culprit', V1) is RunMode.alone
     suspicions.record_crash('culprit', 'i-3', 'v1', was_alone=True)
-    assert suspicions.judge('culprit', V1) is RunMode.refused
+    assert suspicions.get_run_mode('culprit', V1) is RunMode.refused
