--- a/src/wigeonpier/hosted/customeruse.py
+++ b/src/wigeonpier/hosted/customeruse.py
@@ -29,7 +29,7 @@
     import random
     from collections.abc import Callable
 
-    from wigeonpier.hosted.usagecounter import UsageNews
+    from wigeonpier.hosted.usagecounter import UsageReport
     from wigeonpier.models import Bounds
     from wigeonpier.served import ServedCustomer
     from wigeonpier.web.pool import ConnectionPool
@@ -203,7 +203,7 @@
         """
         self._find_counter(host).contact_at = time.monotonic()
 
-    def record_report(self, host: str, report: UsageNews) -> None:
+    def record_report(self, host: str, report: UsageReport) -> None:
         """Record the report of a counter.
 
         :param host: address of its VM.
@@ -251,7 +251,7 @@
     def _record_restart(
         self,
         counter: CounterState,
-        report: UsageNews,
+        report: UsageReport,
         now: float,
     ) -> None:
         """Record the first report of a new start of a counter.
--- a/src/wigeonpier/hosted/loadfeed.py
+++ b/src/wigeonpier/hosted/loadfeed.py
@@ -27,7 +27,7 @@
     from wigeonpier.hosted.contact import StoreContact
     from wigeonpier.hosted.runner import ItemRunner
     from wigeonpier.hosted.upstream import OwnUpstream
-    from wigeonpier.hosted.usagecounter import UsageCounter, UsageNews
+    from wigeonpier.hosted.usagecounter import UsageCounter, UsageReport
     from wigeonpier.membership.suspicions import Suspicions
 
 LOAD_PATH = '/load'
@@ -112,7 +112,7 @@
         position = 0
         first_report = self._usage.describe_all()
         known_totals = first_report.totals
-        usage: UsageNews | None = first_report
+        usage: UsageReport | None = first_report
         while not self.is_closed:
             position, changes = self._suspicions.read_log(position)
             for update in changes:
--- a/src/wigeonpier/hosted/loadfollower.py
+++ b/src/wigeonpier/hosted/loadfollower.py
@@ -25,7 +25,7 @@
     from collections.abc import Callable
 
     from wigeonpier.hosted.replicas import ReplicaRegister
-    from wigeonpier.hosted.usagecounter import UsageNews
+    from wigeonpier.hosted.usagecounter import UsageReport
     from wigeonpier.membership.news import SuspicionUpdate
     from wigeonpier.models import HostSettings, OnlineLoad
     from wigeonpier.web.exchange import Exchange
@@ -56,7 +56,7 @@
     on_load: Callable[[str, OnlineLoad], None]
     on_news: Callable[[SuspicionUpdate], None]
     on_followed: Callable[[str], None]
-    on_usage: Callable[[str, UsageNews], None]
+    on_usage: Callable[[str, UsageReport], None]
 
 
 class LoadFollower:
--- a/src/wigeonpier/hosted/news.py
+++ b/src/wigeonpier/hosted/news.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from wigeonpier.hosted.usagecounter import UsageNews
+from wigeonpier.hosted.usagecounter import UsageReport
 from wigeonpier.membership.news import CrashReport, SuspicionUpdate
 from wigeonpier.models import OnlineLoad
 
@@ -19,7 +19,7 @@
 
     load: OnlineLoad | None = None
     news: SuspicionUpdate | None = None
-    usage: UsageNews | None = None
+    usage: UsageReport | None = None
 
 
 class QuarantineEntry(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/src/wigeonpier/hosted/usagecounter.py
+++ b/src/wigeonpier/hosted/usagecounter.py
@@ -28,7 +28,7 @@
 START_ID_BYTES = 6
 
 
-class UsageNews(msgspec.Struct, frozen=True, omit_defaults=True):
+class UsageReport(msgspec.Struct, frozen=True, omit_defaults=True):
     """Report of a worker on the requests of customers.
 
     :param start: id of the worker's current start.
@@ -78,7 +78,7 @@
             window = self._windows.setdefault(customer, Window(self._span))
             spend(window, count, now)
 
-    def describe_all(self) -> UsageNews:
+    def describe_all(self) -> UsageReport:
         """Make the first report for a follower.
 
         :returns: the report, with all counts.
@@ -88,14 +88,14 @@
             customer: int(sum_spent(window, now))
             for customer, window in self._windows.items()
         }
-        return UsageNews(
+        return UsageReport(
             self._start,
             dict(self._totals),
             {customer: count for customer, count in recent.items() if count},
             round(now - self._started_at, 3),
         )
 
-    def describe_changes(self, known: dict[str, int]) -> UsageNews | None:
+    def describe_changes(self, known: dict[str, int]) -> UsageReport | None:
         """Make a report of what has changed since a follower's last one.
 
         :param known: totals that the follower has; they are updated.
@@ -109,7 +109,7 @@
             if total != known.get(customer)
         }
         known |= changed
-        return UsageNews(self._start, changed)
+        return UsageReport(self._start, changed)
 
     def _add_reported(self, request: Request) -> Response:
         request.body_limit = MAX_USAGE_BYTES
--- a/tests/hosted/test_customeruse.py
+++ b/tests/hosted/test_customeruse.py
@@ -12,7 +12,7 @@
 
 from wigeonpier.hosted import customeruse
 from wigeonpier.hosted.customeruse import CustomerLimiter
-from wigeonpier.hosted.usagecounter import UsageNews
+from wigeonpier.hosted.usagecounter import UsageReport
 from wigeonpier.models import Bounds
 
 SPAN = 5.0
@@ -43,7 +43,7 @@
     limiter: CustomerLimiter, hosts, *, start='a', age=60.0, total=10
 ) -> None:
     for host in hosts:
-        update = UsageNews(start, {'c': total}, {'c': total}, age)
+        update = UsageReport(start, {'c': total}, {'c': total}, age)
         limiter.record_report(host, update)
 
 
