--- a/src/wigeonpier/hosted/news.py
+++ b/src/wigeonpier/hosted/news.py
@@ -38,7 +38,7 @@
     is_proved: bool = True
 
 
-class TrialAsk(msgspec.Struct, frozen=True):
+class TrialRequest(msgspec.Struct, frozen=True):
     """A suspected request for which a slot is requested.
 
     :param fingerprint: the request.
@@ -49,7 +49,7 @@
     company: str
 
 
-class ReservationAsk(msgspec.Struct, frozen=True, omit_defaults=True):
+class ReservationRequest(msgspec.Struct, frozen=True, omit_defaults=True):
     """Request of an entry to a worker for a slot of its upstream.
 
     :param is_late: whether the online request is already late.
@@ -59,5 +59,5 @@
     """
 
     is_late: bool = False
-    trial: TrialAsk | None = None
+    trial: TrialRequest | None = None
     admitted: dict[str, int] = {}
--- a/src/wigeonpier/hosted/reservations.py
+++ b/src/wigeonpier/hosted/reservations.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.hosted.news import ReservationAsk
+from wigeonpier.hosted.news import ReservationRequest
 from wigeonpier.models import Reservation
 from wigeonpier.policy.reservation import (
     ARRIVAL_SECONDS,
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.loadfeed import LoadFeed
-    from wigeonpier.hosted.news import TrialAsk
+    from wigeonpier.hosted.news import TrialRequest
     from wigeonpier.hosted.runner import ItemRunner
     from wigeonpier.hosted.upstream import OwnUpstream
     from wigeonpier.hosted.usagecounter import UsageCounter
@@ -130,7 +130,7 @@
         )
         return Response(HTTPStatus.OK, msgspec.json.encode(answer), JSON_TYPE)
 
-    def _find_obstacle(self, trial: TrialAsk | None, now: float) -> str:
+    def _find_obstacle(self, trial: TrialRequest | None, now: float) -> str:
         """Find the verdict that excludes a suspected request, or ``''``."""
         if trial is None:
             return ''
@@ -138,7 +138,7 @@
         verdict = self._trials.check(trial.fingerprint, isolation, now)
         return '' if verdict is Verdict.granted else verdict.value
 
-    def _grant(self, trial: TrialAsk | None, now: float) -> None:
+    def _grant(self, trial: TrialRequest | None, now: float) -> None:
         self._slots.add(now)
         self._runner.make_room()
         if trial is not None:
@@ -146,6 +146,6 @@
             self._trials.add(trial.fingerprint, isolation, now)
 
 
-def _read_reservation(request: Request) -> ReservationAsk:
+def _read_reservation(request: Request) -> ReservationRequest:
     request.body_limit = MAX_REQUEST_BYTES
-    return decode_body(request.read_body(), ReservationAsk)
+    return decode_body(request.read_body(), ReservationRequest)
--- a/src/wigeonpier/hosted/reserver.py
+++ b/src/wigeonpier/hosted/reserver.py
@@ -9,7 +9,7 @@
 import msgspec
 from result import Err
 
-from wigeonpier.hosted.news import ReservationAsk, TrialAsk
+from wigeonpier.hosted.news import ReservationRequest, TrialRequest
 from wigeonpier.hosted.reservations import RESERVATION_PATH
 from wigeonpier.models import Reservation
 from wigeonpier.policy.route import record_load
@@ -61,7 +61,7 @@
         timeout: float,
         *,
         is_late: bool,
-        trial: TrialAsk | None = None,
+        trial: TrialRequest | None = None,
     ) -> Answer:
         """Request a slot.
 
@@ -75,7 +75,7 @@
         host = split_address(upstream.address)[0]
         address = f'{host}:{self._port}'
         admitted = self._limiter.take_unreported()
-        body = msgspec.json.encode(ReservationAsk(is_late, trial, admitted))
+        body = msgspec.json.encode(ReservationRequest(is_late, trial, admitted))
         headers = [('Host', address)]
         raw = make_request('POST', RESERVATION_PATH, headers, body)
         called = self._pool.call(address, raw, timeout)
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from wigeonpier.hosted.news import TrialAsk
+from wigeonpier.hosted.news import TrialRequest
 from wigeonpier.hosted.reserver import Answer
 from wigeonpier.policy.ranking import rank_by_key
 from wigeonpier.policy.reservation import (
@@ -110,7 +110,7 @@
         upstreams: Iterable[UpstreamState],
         isolation: IsolationLevel,
     ) -> UpstreamState | None:
-        trial = TrialAsk(request.fingerprint, isolation.value)
+        trial = TrialRequest(request.fingerprint, isolation.value)
         unanswered = None
         for upstream in upstreams:
             answer = self.reserver.ask(
