--- a/src/wigeonpier/hosted/newest.py
+++ b/src/wigeonpier/hosted/newest.py
@@ -29,7 +29,7 @@
 NEWEST_PATH = '/newest'
 
 
-class ToldReading(msgspec.Struct, frozen=True):
+class ReadingMessage(msgspec.Struct, frozen=True):
     """Newest revision of the configuration some time ago.
 
     :param revision: revision of its key.
@@ -67,7 +67,9 @@
             reading = self._read()
         # The age is measured last, so that it is too low by no more than the
         # delay of the answer on its way to the entry.
-        message = ToldReading(reading.revision, read_clock() - reading.asked_at)
+        message = ReadingMessage(
+            reading.revision, read_clock() - reading.asked_at
+        )
         return Response(HTTPStatus.OK, msgspec.json.encode(message), JSON_TYPE)
 
     def _read(self) -> Reading:
--- a/src/wigeonpier/hosted/proofs.py
+++ b/src/wigeonpier/hosted/proofs.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from wigeonpier.hosted.knowledge import Reading, read_clock
-from wigeonpier.hosted.newest import NEWEST_PATH, ToldReading
+from wigeonpier.hosted.newest import NEWEST_PATH, ReadingMessage
 from wigeonpier.platform.operator import CONFIGURATION_KEY
 from wigeonpier.policy.ranking import rank_by_key
 from wigeonpier.web.exchange import make_request
@@ -73,7 +73,7 @@
         called = self.pool.call(address, raw, REQUEST_TIMEOUT_SECONDS)
         if isinstance(called, Err) or not called.ok_value.is_good:
             return None
-        reading = called.ok_value.decode(ToldReading)
+        reading = called.ok_value.decode(ReadingMessage)
         # Its age here is at most its age at the reader plus the time since the
         # request was sent.
         return Reading(reading.revision, requested_at - reading.age)
