--- a/src/wigeonpier/hosted/newest.py
+++ b/src/wigeonpier/hosted/newest.py
@@ -40,7 +40,7 @@
     age: float
 
 
-class NewestHandler:
+class NewestRevisionHandler:
     """Reads the revision of the configuration on request of entries."""
 
     def __init__(self, store: KeyValueStore, bound: float) -> None:
--- a/src/wigeonpier/hosted/worker.py
+++ b/src/wigeonpier/hosted/worker.py
@@ -12,7 +12,7 @@
 from wigeonpier.hosted.ledger import JobLedger
 from wigeonpier.hosted.loadfeed import LoadFeed
 from wigeonpier.hosted.membership import Membership
-from wigeonpier.hosted.newest import NewestHandler
+from wigeonpier.hosted.newest import NewestRevisionHandler
 from wigeonpier.hosted.progress import ProgressSaver
 from wigeonpier.hosted.quarantine.store import QuarantineStore
 from wigeonpier.hosted.relay import RelayHandler
@@ -92,7 +92,7 @@
             suspicions,
             usage,
         )
-        newest = NewestHandler(common.store, settings.bounds.revocation)
+        newest = NewestRevisionHandler(common.store, settings.bounds.revocation)
         relay = RelayHandler(common.store.calls, common.pool)
         reservations = ReservationHandler(
             self._upstream,
--- a/tests/hosted/test_proofs.py
+++ b/tests/hosted/test_proofs.py
@@ -106,7 +106,7 @@
         for module in (knowledge, newest, proofs):
             patching.setattr(module, 'read_clock', world.read_clock)
         configuration = Configuration()
-        handler = newest.NewestHandler(world, BOUND)
+        handler = newest.NewestRevisionHandler(world, BOUND)
         entry = make_entry(world, configuration, handler)
         for _round in range(8):
             entry._take(entry._prove())
@@ -125,7 +125,7 @@
 def test_concurrent_entries_share_one_reading(patched) -> None:
     world = World([])
     patched(world)
-    handler = newest.NewestHandler(world, BOUND)
+    handler = newest.NewestRevisionHandler(world, BOUND)
     entries = [make_entry(world, Configuration(), handler) for _ in range(50)]
     for entry in entries:
         entry._take(entry._prove())
@@ -139,7 +139,9 @@
     patched(world)
     world.now = TAKEN_AWAY_AT + 0.1
     configuration = Configuration()
-    entry = make_entry(world, configuration, newest.NewestHandler(world, BOUND))
+    entry = make_entry(
+        world, configuration, newest.NewestRevisionHandler(world, BOUND)
+    )
     entry._take(entry._prove())
     assert configuration.revision == NEW
     assert entry.measure().age < 0.1
@@ -164,6 +166,6 @@
     world = World([])
     patched(world)
     message = msgspec.json.decode(
-        newest.NewestHandler(world, BOUND)._answer(None).body
+        newest.NewestRevisionHandler(world, BOUND)._answer(None).body
     )
     assert set(message) == {'revision', 'age'}
