--- a/src/wigeonpier/hosted/loadfollower.py
+++ b/src/wigeonpier/hosted/loadfollower.py
@@ -46,7 +46,7 @@
     """Callbacks for the messages of load feeds.
 
     :param on_load: called with the address of a VM and the load there.
-    :param on_news: called with updates on suspected requests.
+    :param on_update: called with updates on suspected requests.
     :param on_followed: called with the address of an upstream after the first
         message on a connection to its worker.
     :param on_usage: called with the address of a VM and the request counts of
@@ -54,7 +54,7 @@
     """
 
     on_load: Callable[[str, OnlineLoad], None]
-    on_news: Callable[[SuspicionUpdate], None]
+    on_update: Callable[[SuspicionUpdate], None]
     on_followed: Callable[[str], None]
     on_usage: Callable[[str, UsageReport], None]
 
@@ -145,7 +145,7 @@
     def _dispatch(self, address: str, line: bytes) -> None:
         message = msgspec.json.decode(line, type=FeedLine)
         if message.news is not None:
-            self._listeners.on_news(message.news)
+            self._listeners.on_update(message.news)
         if message.usage is not None:
             self._listeners.on_usage(split_address(address)[0], message.usage)
         if message.load is not None:
