--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -243,7 +243,7 @@
             common.metrics,
             self._quarantine,
         )
-        self._replicas.on_replaced = suspects.note_replaced
+        self._replicas.on_restart = suspects.record_replaced
         binder = SlotBinder(
             self._replicas,
             chooser,
--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -59,7 +59,7 @@
         """Watch the register once started."""
         self.upstreams: dict[str, UpstreamState] = {}
         # Called with an upstream once a later start of it is known.
-        self.on_replaced: Callable[[UpstreamState], object] = _ignore_upstream
+        self.on_restart: Callable[[UpstreamState], object] = _ignore_upstream
         self.view = make_view(REGISTER, self._apply)
         self._created_revisions: dict[str, int] = {}
         self._last_incarnations: dict[str, int] = {}
@@ -83,7 +83,7 @@
             self._routed = self._choose_routed()
         return self._routed
 
-    def note_replaced(self, state: UpstreamState, instance: str) -> None:
+    def record_replaced(self, state: UpstreamState, instance: str) -> None:
         """Record that another instance answered at the address of an upstream.
 
         :param state: the upstream; no requests are routed to it until its
@@ -92,7 +92,7 @@
             to it if the register lists it, even by an older entry.
         """
         # The callback reads ``is_leaving``, so that it runs before the change.
-        self.on_replaced(state)
+        self.on_restart(state)
         state.is_leaving = True
         self._replaced_at = time.monotonic()
         entry = self.view.entries.get(name_replica(instance))
@@ -168,7 +168,7 @@
             return
         state = self.upstreams.get(replica.name)
         if state is not None and _is_another_start(state, replica):
-            self.on_replaced(state)
+            self.on_restart(state)
             self._remove(replica.name)
             state = None
         if state is None:
@@ -225,7 +225,7 @@
                 (replica.incarnation, change.created),
             ):
                 return True
-            self.on_replaced(other)
+            self.on_restart(other)
             self._remove(other.name)
         self._created_revisions[replica.name] = change.created
         return False
--- a/src/wigeonpier/hosted/runner.py
+++ b/src/wigeonpier/hosted/runner.py
@@ -221,7 +221,7 @@
             has_free_slot=upstream is not None and upstream.has_free_slot,
         )
         if outcome is RunOutcome.replaced and replica is not None:
-            self._upstream.note_replaced(replica)
+            self._upstream.record_replaced(replica)
 
     def _run_once(self, work: ItemWork, replica: Replica | None) -> RunOutcome:
         if replica is None:
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -96,7 +96,7 @@
             raise CallerGoneError('the caller has disconnected')
         if failure is SendFailure.replaced:
             instance = request.sends[-1].instance
-            self.binder.replicas.note_replaced(upstream, instance)
+            self.binder.replicas.record_replaced(upstream, instance)
             # Takes a few ms and does not show that the service is full, so it
             # does not count towards MAX_SENDS.
             request.tried.discard(upstream.name)
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -147,7 +147,7 @@
             ),
         )
 
-    def note_replaced(self, upstream: UpstreamState) -> None:
+    def record_replaced(self, upstream: UpstreamState) -> None:
         """Count crashes that a new incarnation at the same address confirms.
 
         An upstream that restarts at once never refuses a connection, so the
--- a/src/wigeonpier/hosted/upstream.py
+++ b/src/wigeonpier/hosted/upstream.py
@@ -134,7 +134,7 @@
         )
         self._watcher.get()
 
-    def note_replaced(self, known: Replica) -> None:
+    def record_replaced(self, known: Replica) -> None:
         """Stop using an entry because another instance answers at its address.
 
         The register is read again at once, since the entry may never be
--- a/tests/hosted/test_replicas.py
+++ b/tests/hosted/test_replicas.py
@@ -90,7 +90,7 @@
     """
     register.view._apply(build_change('current', 5))
     register.view._apply(build_change('stale', 9))
-    register.note_replaced(register.upstreams['stale'], 'current')
+    register.record_replaced(register.upstreams['stale'], 'current')
     assert list(register.upstreams) == ['current']
     assert not register.upstreams['current'].is_leaving
 
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize('instance', ['', 'unlisted'])
 def test_unknown_instance_gets_no_address(register, instance) -> None:
     register.view._apply(build_change('stale', 9))
-    register.note_replaced(register.upstreams['stale'], instance)
+    register.record_replaced(register.upstreams['stale'], instance)
     assert [state.is_leaving for state in register.upstreams.values()] == [True]
 
 
