--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -256,7 +256,7 @@
         return RequestSender(binder, common.pool)
 
     def _record_load(self, host: str, load: OnlineLoad) -> None:
-        self._reach.note_contact()
+        self._reach.record_contact()
         self._relays.note(host, has_store=load.has_store)
         self._limiter.record_contact(host)
 
--- a/src/wigeonpier/hosted/reach.py
+++ b/src/wigeonpier/hosted/reach.py
@@ -32,7 +32,7 @@
         """Start the periodic check."""
         spawn_loop('reach', self._step)
 
-    def note_contact(self) -> None:
+    def record_contact(self) -> None:
         """Record an answer or a message of an upstream or a worker."""
         self._last_contact_at = time.monotonic()
         if self.is_cut_off:
