--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -178,7 +178,7 @@
         """Check whether an upstream is known, or may return after a crash."""
         if self.chooser.choose(request) or self.replicas.is_outdated:
             return True
-        return self.replicas.is_any_ended(request.service)
+        return self.replicas.has_recent_crash(request.service)
 
     def _reserve(self, request: OnlineRequest) -> UpstreamState | None:
         """Try to reserve a slot at a few upstreams, the likeliest first.
--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -108,7 +108,7 @@
             if state.start == start:
                 record_crash(state, time.monotonic())
 
-    def is_any_ended(self, service: str) -> bool:
+    def has_recent_crash(self, service: str) -> bool:
         """Check whether an upstream of a service will soon be back.
 
         :param service: name of the service.
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -175,7 +175,7 @@
     replicas = SimpleNamespace(
         list_upstreams=lambda: states,
         is_outdated=False,
-        is_any_ended=lambda _service: False,
+        has_recent_crash=lambda _service: False,
         upstreams={state.name: state for state in states},
     )
     settings = make_settings('edge-0', '127.0.0.1:1')
