--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -21,7 +21,7 @@
 
     from wigeonpier.hosted.items import ItemWork
     from wigeonpier.hosted.quarantine.store import QuarantineStore
-    from wigeonpier.hosted.upstream import OwnUpstream
+    from wigeonpier.hosted.upstream import LocalUpstream
     from wigeonpier.membership.ends import CrashDetector
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.policy.trial import TrialTable
@@ -51,7 +51,7 @@
     :param quarantine: saves refused requests in the store.
     """
 
-    upstream: OwnUpstream
+    upstream: LocalUpstream
     suspicions: Suspicions
     trials: TrialTable
     crash_detector: CrashDetector
--- a/src/wigeonpier/hosted/loadfeed.py
+++ b/src/wigeonpier/hosted/loadfeed.py
@@ -26,7 +26,7 @@
 
     from wigeonpier.hosted.contact import StoreContact
     from wigeonpier.hosted.runner import ItemRunner
-    from wigeonpier.hosted.upstream import OwnUpstream
+    from wigeonpier.hosted.upstream import LocalUpstream
     from wigeonpier.hosted.usagecounter import UsageCounter, UsageReport
     from wigeonpier.membership.suspicions import Suspicions
 
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        upstream: OwnUpstream,
+        upstream: LocalUpstream,
         runner: ItemRunner,
         contact: StoreContact,
         suspicions: Suspicions,
--- a/src/wigeonpier/hosted/reservations.py
+++ b/src/wigeonpier/hosted/reservations.py
@@ -25,7 +25,7 @@
     from wigeonpier.hosted.loadfeed import LoadFeed
     from wigeonpier.hosted.news import TrialRequest
     from wigeonpier.hosted.runner import ItemRunner
-    from wigeonpier.hosted.upstream import OwnUpstream
+    from wigeonpier.hosted.upstream import LocalUpstream
     from wigeonpier.hosted.usagecounter import UsageCounter
     from wigeonpier.policy.trial import TrialTable
 
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        upstream: OwnUpstream,
+        upstream: LocalUpstream,
         runner: ItemRunner,
         feed: LoadFeed,
         slots: SlotTable,
--- a/src/wigeonpier/hosted/runner.py
+++ b/src/wigeonpier/hosted/runner.py
@@ -21,7 +21,7 @@
     from wigeonpier.hosted.itemtrials import ItemTrials
     from wigeonpier.hosted.reservations import SlotTable
     from wigeonpier.hosted.results import ResultWriter
-    from wigeonpier.hosted.upstream import OwnUpstream
+    from wigeonpier.hosted.upstream import LocalUpstream
     from wigeonpier.models import Replica
     from wigeonpier.telemetry.metrics import Metrics
     from wigeonpier.web.pool import ConnectionPool
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        upstream: OwnUpstream,
+        upstream: LocalUpstream,
         writer: ResultWriter,
         pool: ConnectionPool,
         metrics: Metrics,
--- a/src/wigeonpier/hosted/upstream.py
+++ b/src/wigeonpier/hosted/upstream.py
@@ -72,7 +72,7 @@
             self.backoffs.pop(start)
 
 
-class OwnUpstream:
+class LocalUpstream:
     """Follows the register entry and the load of the upstream on this VM."""
 
     def __init__(
--- a/src/wigeonpier/hosted/worker.py
+++ b/src/wigeonpier/hosted/worker.py
@@ -20,7 +20,7 @@
 from wigeonpier.hosted.results import ResultWriter
 from wigeonpier.hosted.runner import ItemRunner
 from wigeonpier.hosted.suspicionhandler import SuspicionHandler
-from wigeonpier.hosted.upstream import OwnUpstream
+from wigeonpier.hosted.upstream import LocalUpstream
 from wigeonpier.hosted.usagecounter import UsageCounter
 from wigeonpier.loops import spawn_loop
 from wigeonpier.membership.ends import CrashDetector
@@ -50,7 +50,7 @@
         settings = common.settings
         ledger = JobLedger(common.store)
         self._common = common
-        self._upstream = OwnUpstream(
+        self._upstream = LocalUpstream(
             common.store,
             common.pool,
             settings.upstream,
