--- a/src/wigeonpier/hosted/acceptance.py
+++ b/src/wigeonpier/hosted/acceptance.py
@@ -222,7 +222,7 @@
 
     def _count_done_tokens(self, job: OpenJob) -> int:
         view = self._views.find(job.name)
-        self._views.look(view, len(view.results), 0)
+        self._views.refresh(view, len(view.results), 0)
         items = self._views.find_items(view)
         return sum(items[placed.index].tokens for placed in view.results)
 
--- a/src/wigeonpier/hosted/jobs.py
+++ b/src/wigeonpier/hosted/jobs.py
@@ -139,7 +139,7 @@
                 return read
         # The reader has no current answer; read the store.
         view = self._views.find(name)
-        self._views.look(view, after, wait)
+        self._views.refresh(view, after, wait)
         return view.cut_page(after)
 
 
--- a/src/wigeonpier/hosted/views.py
+++ b/src/wigeonpier/hosted/views.py
@@ -49,7 +49,7 @@
     :param head: its head.
     :param results: results by position.
     :param revision: revision up to which results were read.
-    :param looked_at: when they were read, seconds of the monotonic clock.
+    :param refreshed_at: when they were read, seconds of the monotonic clock.
     :param items: its items, read when a body is requested.
     :param is_closed: whether this process removed it from the board.
     :param lock: held while new results are read.
@@ -58,7 +58,7 @@
     head: JobHead
     results: list[PlacedResult]
     revision: int
-    looked_at: float
+    refreshed_at: float
     items: list[JobItem] | None = None
     is_closed: bool = False
     lock: BoundedSemaphore = field(default_factory=BoundedSemaphore)
@@ -129,7 +129,7 @@
             read.head,
             read.results,
             read.revision,
-            looked_at=time.monotonic(),
+            refreshed_at=time.monotonic(),
         )
         return self._views.setdefault(name, view)
 
@@ -172,7 +172,7 @@
             view.items = read.ok_value
         return view.items
 
-    def look(self, view: JobView, known: int, wait: float) -> None:
+    def refresh(self, view: JobView, known: int, wait: float) -> None:
         """Read new results, by one call for all concurrent readers.
 
         :param view: the job.
@@ -208,7 +208,7 @@
         :returns: false if the store could not be read.
         """
         read = self._read_results(view, wait)
-        view.looked_at = time.monotonic()
+        view.refreshed_at = time.monotonic()
         if isinstance(read, Err):
             return False
         view.results += read.ok_value[0]
@@ -218,7 +218,7 @@
 
     def _refresh_locked(self, view: JobView, known: int, wait: float) -> None:
         has_new_results = len(view.results) > known
-        age = time.monotonic() - view.looked_at
+        age = time.monotonic() - view.refreshed_at
         is_enough = has_new_results or not wait
         if view.is_finished or (age < FRESH_SECONDS and is_enough):
             return
--- a/tests/hosted/test_reader.py
+++ b/tests/hosted/test_reader.py
@@ -166,7 +166,7 @@
     site.wait_for_results('j', 1)
     handler = site.entries[0]._jobs
     view = handler._views.find('j')
-    handler._views.look(view, 0, 0)
+    handler._views.refresh(view, 0, 0)
     wait_for(lambda: view.results, 'the entry has read it itself')
     for disk in site.disks:
         disk._server.stop()
--- a/tests/hosted/test_views.py
+++ b/tests/hosted/test_views.py
@@ -74,13 +74,13 @@
     Another reader already had more results.
     """
     view = views.find('j')
-    views.look(view, 0, 0)
-    view.looked_at -= 9
+    views.refresh(view, 0, 0)
+    view.refreshed_at -= 9
     ledger.results = [build_result(0), build_result(1)]
     ledger.delay = 0.1
-    first = gevent.spawn(views.look, view, 0, 1.0)
+    first = gevent.spawn(views.refresh, view, 0, 1.0)
     gevent.sleep(0.02)
-    views.look(view, 0, 0)
+    views.refresh(view, 0, 0)
     assert len(view.results) == 2
     first.get()
 
@@ -89,42 +89,42 @@
     views, ledger
 ) -> None:
     view = views.find('j')
-    views.look(view, 0, 0)
-    waiting = gevent.spawn(views.look, view, 0, 5.0)
+    views.refresh(view, 0, 0)
+    waiting = gevent.spawn(views.refresh, view, 0, 5.0)
     gevent.sleep(0.02)
     with gevent.Timeout(1):
-        views.look(view, 0, 0)
+        views.refresh(view, 0, 0)
     waiting.kill()
 
 
 def test_readers_share_one_read(views, ledger) -> None:
     view = views.find('j')
     for _reader in range(5):
-        views.look(view, 0, 0)
+        views.refresh(view, 0, 0)
     assert ledger.looks == 1
 
 
 def test_reader_from_start_gets_later_results(views, ledger) -> None:
     ledger.results = [build_result(0)]
     view = views.find('j')
-    views.look(view, 0, 0)
+    views.refresh(view, 0, 0)
     ledger.results.append(build_result(1))
-    view.looked_at -= 9
-    views.look(view, 0, 0)
+    view.refreshed_at -= 9
+    views.refresh(view, 0, 0)
     assert len(view.results) == 2
 
 
 def test_results_stay_readable_while_store_is_down(views, ledger) -> None:
     ledger.results = [build_result(0)]
     view = views.find('j')
-    views.look(view, 0, 0)
+    views.refresh(view, 0, 0)
     ledger.is_away = True
-    view.looked_at -= 9
-    views.look(view, 0, 0)
+    view.refreshed_at -= 9
+    views.refresh(view, 0, 0)
     assert len(view.results) == 1
-    view.looked_at -= 9
+    view.refreshed_at -= 9
     with pytest.raises(Refusal) as refused:
-        views.look(view, 1, 0)
+        views.refresh(view, 1, 0)
     assert refused.value.status == 503
 
 
@@ -139,6 +139,6 @@
     """Readers use many entries; each needed two calls to read a job."""
     ledger.results = [build_result(0)]
     view = views.find('j')
-    views.look(view, 0, 1.0)
+    views.refresh(view, 0, 1.0)
     assert len(view.results) == 1
     assert ledger.looks == 1
