--- a/src/wigeonpier/hosted/loadfeed.py
+++ b/src/wigeonpier/hosted/loadfeed.py
@@ -129,9 +129,9 @@
             self._suspicions.changed.wait(REPORT_INTERVAL_SECONDS)
 
     def _poll(self) -> None:
-        age = time.monotonic() - self._upstream.looked_at
+        age = time.monotonic() - self._upstream.polled_at
         if self._followers and age > REPORT_INTERVAL_SECONDS / 2:
-            self._upstream.look()
+            self._upstream.poll()
         gevent.sleep(REPORT_INTERVAL_SECONDS / 2)
 
 
--- a/src/wigeonpier/hosted/reservations.py
+++ b/src/wigeonpier/hosted/reservations.py
@@ -51,16 +51,16 @@
         """
         self._reserved.append(now)
 
-    def count(self, looked_at: float) -> int:
+    def count(self, polled_at: float) -> int:
         """Count the reservations whose requests the load does not include.
 
         Older reservations are dropped.
 
-        :param looked_at: when the upstream was polled for its load, seconds of
+        :param polled_at: when the upstream was polled for its load, seconds of
             the monotonic clock.
         :returns: number of slots.
         """
-        oldest = looked_at - ARRIVAL_SECONDS
+        oldest = polled_at - ARRIVAL_SECONDS
         self._reserved = [made for made in self._reserved if made > oldest]
         return len(self._reserved)
 
@@ -105,13 +105,13 @@
         reservation = _read_reservation(request)
         # These requests count whether or not this reservation is granted.
         self._usage.add(reservation.admitted)
-        if now - self._upstream.looked_at > MAX_LOAD_AGE_SECONDS:
-            self._upstream.look()
+        if now - self._upstream.polled_at > MAX_LOAD_AGE_SECONDS:
+            self._upstream.poll()
         replica = self._upstream.replica
         if replica is None:
             raise Refusal(ErrorKind.no_upstream, 'the upstream is not known')
         load = self._feed.measure()
-        reserved = self._slots.count(self._upstream.looked_at)
+        reserved = self._slots.count(self._upstream.polled_at)
         obstacle = self._find_obstacle(reservation.trial, now)
         is_granted = (
             not obstacle
--- a/src/wigeonpier/hosted/runner.py
+++ b/src/wigeonpier/hosted/runner.py
@@ -129,9 +129,9 @@
         if not self.work:
             gevent.sleep(IDLE_TICK_SECONDS)
             if not self._upstream.is_usable or not self._upstream.report:
-                self._upstream.look()
+                self._upstream.poll()
             return
-        self._upstream.look()
+        self._upstream.poll()
         self._abandon_expired()
         self.make_room()
         gevent.sleep(TICK_SECONDS)
@@ -201,7 +201,7 @@
         return pacing.UpstreamView(
             replica.slots,
             report.running,
-            report.waiting + self._slots.count(self._upstream.looked_at),
+            report.waiting + self._slots.count(self._upstream.polled_at),
             self._lengths.seconds,
             self._lengths.deviation,
         )
--- a/src/wigeonpier/hosted/upstream.py
+++ b/src/wigeonpier/hosted/upstream.py
@@ -85,7 +85,7 @@
         self.address = address
         self.replica: Replica | None = None
         self.report: UpstreamReport | None = None
-        self.looked_at: float = 0
+        self.polled_at: float = 0
         self._store = store
         self._pool = pool
         self._failures = 0
@@ -113,7 +113,7 @@
         if self.report is None:
             # An upstream that does not answer is not in the register either,
             # and calls to the store are charged, unlike calls on this VM.
-            self.look()
+            self.poll()
         if self.report is None:
             gevent.sleep(SEARCH_INTERVAL_SECONDS)
             return
@@ -149,9 +149,9 @@
         if self._watcher is not None:
             self._watcher.kill(block=False)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Poll the load of the upstream; calls on the same VM are free."""
-        self.looked_at = time.monotonic()
+        self.polled_at = time.monotonic()
         headers = [('Host', self.address)]
         raw = make_request('GET', ingress.REPORT_PATH, headers)
         called = self._pool.call(self.address, raw, REPORT_TIMEOUT_SECONDS)
--- a/tests/hosted/test_reservations.py
+++ b/tests/hosted/test_reservations.py
@@ -71,5 +71,5 @@
 def test_a_reservation_expires_once_the_load_includes_its_request() -> None:
     slots = SlotTable()
     slots.add(10.0)
-    assert slots.count(looked_at=10.0 + ARRIVAL_SECONDS / 2) == 1
-    assert slots.count(looked_at=10.0 + ARRIVAL_SECONDS) == 0
+    assert slots.count(polled_at=10.0 + ARRIVAL_SECONDS / 2) == 1
+    assert slots.count(polled_at=10.0 + ARRIVAL_SECONDS) == 0
