--- a/src/wigeonpier/hosted/following.py
+++ b/src/wigeonpier/hosted/following.py
@@ -10,7 +10,7 @@
 import gevent
 from gevent.event import Event as Signal
 
-from wigeonpier.hosted.views import refuse_unread
+from wigeonpier.hosted.views import make_unreadable_refusal
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.contact import StoreContact
@@ -76,7 +76,7 @@
         follow.last_read_at = time.monotonic()
         return follow.view
 
-    def await_news(self, view: JobView, known: int, wait: float) -> None:
+    def await_results(self, view: JobView, known: int, wait: float) -> None:
         """Wait until there are results that a reader does not have.
 
         :param view: the job.
@@ -96,7 +96,7 @@
     def _get_current(self, name: str) -> _FollowedJob:
         follow = self._follows.get(name)
         if follow is None or not follow.is_current.wait(INITIAL_READ_SECONDS):
-            raise refuse_unread()
+            raise make_unreadable_refusal()
         return follow
 
     def _check_current(self, follow: _FollowedJob) -> None:
@@ -108,7 +108,7 @@
         :raises Refusal: if there was an outage since the call was started.
         """
         if not self._contact.has_kept_since(follow.called_at):
-            raise refuse_unread()
+            raise make_unreadable_refusal()
 
     def _run(self, follow: _FollowedJob) -> None:
         with ExitStack() as stack:
@@ -117,7 +117,7 @@
             is_certain = True
             while is_certain and self._is_wanted(follow):
                 follow.called_at = time.monotonic()
-                is_certain = self._views.read_on(follow.view, wait)
+                is_certain = self._views.read_new_results(follow.view, wait)
                 wait = WATCH_SECONDS
                 if is_certain:
                     follow.is_current.set()
--- a/src/wigeonpier/hosted/jobs.py
+++ b/src/wigeonpier/hosted/jobs.py
@@ -12,7 +12,7 @@
 
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.hosted.acceptance import SubmittedJob
-from wigeonpier.hosted.views import refuse_unread
+from wigeonpier.hosted.views import make_unreadable_refusal
 from wigeonpier.platform import ingress, jobbodies
 from wigeonpier.policy.ownership import scope_job
 from wigeonpier.telemetry.events import Event
@@ -127,7 +127,7 @@
                 view.is_closed = True
                 log_event(Event.job_ended, job=job, listed=len(view.results))
             elif time.monotonic() > deadline:
-                raise refuse_unread()
+                raise make_unreadable_refusal()
             else:
                 gevent.sleep(RETRY_PAUSE_SECONDS)
         return Response(HTTPStatus.OK, EMPTY_BODY)
@@ -140,7 +140,7 @@
         # The reader has no current answer; read the store.
         view = self._views.find(name)
         self._views.refresh(view, after, wait)
-        return view.cut_page(after)
+        return view.make_page(after)
 
 
 def _parse_job(routed: RoutedRequest) -> SubmittedJob:
--- a/src/wigeonpier/hosted/readings.py
+++ b/src/wigeonpier/hosted/readings.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.hosted.views import refuse_unread
+from wigeonpier.hosted.views import make_unreadable_refusal
 from wigeonpier.web.messages import JSON_TYPE, Request, Response
 from wigeonpier.web.server import Route, make_route
 
@@ -61,12 +61,12 @@
     def _answer(self, request: Request, name: str) -> Response:
         after, wait = _read_query(request.query)
         if self._contact.is_lost:
-            raise refuse_unread()
+            raise make_unreadable_refusal()
         view = self._jobs.find(name)
-        self._jobs.await_news(view, after, wait)
+        self._jobs.await_results(view, after, wait)
         if len(view.results) <= after and not view.is_finished:
             self._check_contact()
-        page = msgspec.json.encode(view.cut_page(after))
+        page = msgspec.json.encode(view.make_page(after))
         return Response(HTTPStatus.OK, page, JSON_TYPE)
 
     def _check_contact(self) -> None:
@@ -79,7 +79,7 @@
         if not self._contact.has_answered_since(min_answered_at):
             self._contact.ask()
         if not self._contact.has_answered_since(min_answered_at):
-            raise refuse_unread()
+            raise make_unreadable_refusal()
 
 
 def _read_query(query: str) -> tuple[int, float]:
--- a/src/wigeonpier/hosted/views.py
+++ b/src/wigeonpier/hosted/views.py
@@ -68,7 +68,7 @@
         """Id of the job."""
         return self.head.job.name
 
-    def cut_page(self, after: int) -> ResultPage:
+    def make_page(self, after: int) -> ResultPage:
         """Make a page of results.
 
         :param after: position of the first one.
@@ -120,7 +120,7 @@
             return view
         read = self._read_job(name)
         if read is None and self._may_be_on_disk(name):
-            raise refuse_unread()
+            raise make_unreadable_refusal()
         if read is None:
             raise Refusal(ErrorKind.not_found, f'there is no job {name}')
         while len(self._views) >= MAX_JOBS:
@@ -168,7 +168,7 @@
         if view.items is None:
             read = self._ledger.read_items(view.head.job)
             if isinstance(read, Err):
-                raise refuse_unread()
+                raise make_unreadable_refusal()
             view.items = read.ok_value
         return view.items
 
@@ -200,7 +200,7 @@
             view.is_closed = isinstance(self._ledger.close(view.name), Ok)
             log_event(Event.job_finished, job=view.name)
 
-    def read_on(self, view: JobView, wait: float) -> bool:
+    def read_new_results(self, view: JobView, wait: float) -> bool:
         """Read new results of a job.
 
         :param view: the job.
@@ -222,10 +222,10 @@
         is_enough = has_new_results or not wait
         if view.is_finished or (age < FRESH_SECONDS and is_enough):
             return
-        is_certain = self.read_on(view, 0 if has_new_results else wait)
+        is_certain = self.read_new_results(view, 0 if has_new_results else wait)
         # Cached results never change, and are returned without the store too.
         if not is_certain and not has_new_results:
-            raise refuse_unread()
+            raise make_unreadable_refusal()
 
     def _read_results(
         self,
@@ -251,7 +251,7 @@
             if isinstance(read, Ok):
                 return read.ok_value
             if time.monotonic() > deadline:
-                raise refuse_unread()
+                raise make_unreadable_refusal()
             gevent.sleep(PAUSE_SECONDS)
 
 
@@ -260,7 +260,7 @@
     return next(bodies, None)
 
 
-def refuse_unread() -> Refusal:
+def make_unreadable_refusal() -> Refusal:
     """Make the refusal for reads while the store is unreachable.
 
     :returns: the refusal.
--- a/tests/hosted/test_reader.py
+++ b/tests/hosted/test_reader.py
@@ -88,9 +88,9 @@
         find=lambda _name: SimpleNamespace(
             results=[],
             is_finished=False,
-            cut_page=lambda _after: ResultPage(1, ()),
+            make_page=lambda _after: ResultPage(1, ()),
         ),
-        await_news=lambda _view, _known, _wait: None,
+        await_results=lambda _view, _known, _wait: None,
     )
     handler = ReadingHandler(jobs, contact)
     query = make_target('j', 0, 0.05).partition('?')[2]
@@ -117,7 +117,7 @@
     view = jobs._views.find('j')
     ledger.results = [build_result(0)]
     assert jobs.find('j') is view
-    jobs.await_news(view, 0, 0)
+    jobs.await_results(view, 0, 0)
     assert len(view.results) == 1
 
 
@@ -127,7 +127,7 @@
     jobs = build_followed_jobs(ledger, has_kept=False)
     view = jobs.find('j')
     with pytest.raises(Refusal):
-        jobs.await_news(view, 0, 0.05)
+        jobs.await_results(view, 0, 0.05)
 
 
 def test_a_job_is_followed_in_one_call_while_it_is_read() -> None:
@@ -138,13 +138,13 @@
     view = jobs.find('j')
     for _reader in range(5):
         assert jobs.find('j') is view
-        jobs.await_news(view, 1, 0.01)
+        jobs.await_results(view, 1, 0.01)
     gevent.sleep(GATHER_SECONDS + 0.05)
     # One call finds the job, one reads newer results, one waits for more.
     assert ledger.looks == 3
     ledger.results += [build_result(1), build_result(2)]
-    jobs._views.read_on(view, 0)
-    jobs.await_news(view, 1, 5.0)
+    jobs._views.read_new_results(view, 0)
+    jobs.await_results(view, 1, 5.0)
     assert view.is_finished
 
 
@@ -156,8 +156,8 @@
     ledger.is_away = True
     gevent.sleep(0.01)
     with pytest.raises(Refusal):
-        jobs.await_news(view, 1, 0.1)
-    jobs.await_news(view, 0, 0.1)
+        jobs.await_results(view, 1, 0.1)
+    jobs.await_results(view, 0, 0.1)
 
 
 def test_an_entry_that_has_the_result_makes_no_call(site: HostedSite) -> None:
