--- a/src/wigeonpier/hosted/ledger.py
+++ b/src/wigeonpier/hosted/ledger.py
@@ -59,12 +59,12 @@
 
     :param created: revision of its creation.
     :param index: position of its item in the job.
-    :param found: the result.
+    :param result: the result.
     """
 
     created: int
     index: int
-    found: ItemResult
+    result: ItemResult
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/wigeonpier/hosted/views.py
+++ b/src/wigeonpier/hosted/views.py
@@ -78,10 +78,10 @@
         page: list[ItemResult] = []
         size = 0
         for placed in self.results[after:]:
-            size += len(placed.found.output)
+            size += len(placed.result.output)
             if page and size > MAX_PAGE_BYTES:
                 break
-            page.append(placed.found)
+            page.append(placed.result)
         return ResultPage(len(self.head.names), tuple(page))
 
     @property
