--- a/src/wigeonpier/hosted/common.py
+++ b/src/wigeonpier/hosted/common.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from wigeonpier.hosted.contact import StoreContact
+from wigeonpier.hosted.contact import StoreHealth
 from wigeonpier.platform.store import KeyValueStore
 from wigeonpier.platform.view import PrefixView
 from wigeonpier.policy.outage import plan_outage
@@ -38,7 +38,7 @@
     :param metrics: its metrics.
     :param pool: connections to other processes.
     :param store: the key-value service.
-    :param contact: tracks whether the store answers.
+    :param store_health: tracks whether the store answers.
     :param draw: source of randomness.
     """
 
@@ -47,7 +47,7 @@
     pool: ConnectionPool = field(default_factory=ConnectionPool)
     draw: random.Random = field(default_factory=random.Random)
     store: KeyValueStore = field(init=False)
-    contact: StoreContact = field(init=False)
+    store_health: StoreHealth = field(init=False)
 
     def __post_init__(self) -> None:
         """Connect to the store of the settings."""
@@ -57,12 +57,12 @@
             self.metrics,
             self.settings.store_history,
         )
-        self.contact = StoreContact(
+        self.store_health = StoreHealth(
             self.store,
             plan_outage(self.settings.bounds),
             self.draw,
         )
-        self.contact.start()
+        self.store_health.start()
 
     def view(
         self,
@@ -81,7 +81,7 @@
             prefix,
             on_change,
             self.draw,
-            wait=self.contact.wait,
+            wait=self.store_health.wait,
         )
 
     def apply(self, settings: HostSettings) -> set[str]:
--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -33,8 +33,8 @@
 MAX_WAIT_SECONDS = 3.0
 
 
-class StoreContact:
-    """Tracks the outcome of each call; probes the store while it is lost."""
+class StoreHealth:
+    """Tracks the outcome of each call; probes the store while it is unreachable."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         return self._answered_at > moment
 
     def has_kept_since(self, moment: float) -> bool:
-        """Check whether the store has not been lost since a moment.
+        """Check whether the store has been reachable since a moment.
 
         :param moment: seconds of the monotonic clock.
         :returns: false if a call that was started then may never be answered.
@@ -83,7 +83,7 @@
         return not self.is_lost and self._lost_at < moment
 
     def start(self) -> None:
-        """Start to probe the store whenever it is lost."""
+        """Start to probe the store whenever it is unreachable."""
         spawn_loop('store contact', self._step)
 
     def note(self, started_at: float, *, is_answered: bool) -> None:
--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -23,7 +23,7 @@
     import random
 
     from wigeonpier.hosted.board import Board
-    from wigeonpier.hosted.contact import StoreContact
+    from wigeonpier.hosted.contact import StoreHealth
     from wigeonpier.hosted.ledger import JobLedger
     from wigeonpier.platform.port import Change
     from wigeonpier.platform.view import ViewFactory
@@ -46,12 +46,12 @@
         self,
         ledger: JobLedger,
         make_view: ViewFactory,
-        contact: StoreContact,
+        store_health: StoreHealth,
         rng: random.Random,
     ) -> None:
         """Watch the members once started."""
         self._ledger = ledger
-        self._contact = contact
+        self._store_health = store_health
         self._rng = rng
         self._pending: set[str] = set()
         self._view = make_view(places.MEMBERS, self._apply)
@@ -80,7 +80,7 @@
     def _scan(self) -> None:
         """Find items of lost owners whose removal was not seen."""
         gevent.sleep(SWEEP_SECONDS * self._rng.uniform(1, 2))
-        if not self._view.is_complete or self._contact.is_lost:
+        if not self._view.is_complete or self._store_health.is_lost:
             return
         # A stale read is enough here: membership is checked again before any
         # item is reassigned.
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -78,12 +78,12 @@
         self._replicas = ReplicaRegister(
             common.view,
             settings,
-            common.contact,
+            common.store_health,
             common.pool.forget,
         )
-        self._reach = Reach(common.contact)
+        self._reach = Reach(common.store_health)
         self._relays = Relays(split_address(settings.peers)[1], common.draw)
-        common.contact.find_relay = self._relays.find
+        common.store_health.find_relay = self._relays.find
         self._knowledge = ConfigurationKnowledge(
             self._configuration,
             settings.bounds.revocation,
@@ -99,7 +99,7 @@
         self._quarantine = QuarantineStore(
             common.store,
             self._suspicions,
-            common.contact.wait,
+            common.store_health.wait,
         )
         self._publisher = SuspicionPublisher(
             self._suspicions,
@@ -139,7 +139,7 @@
             ledger,
             common.pool,
             on_board=self._load_board,
-            wait=common.contact.wait,
+            wait=common.store_health.wait,
         )
         self._quarantine_copies = QuarantinePublisher(
             common.pool,
@@ -273,7 +273,7 @@
 
     def _receive_update(self, update: SuspicionUpdate) -> None:
         self._publisher.receive(update)
-        if self._common.contact.is_lost:
+        if self._common.store_health.is_lost:
             self._quarantine.replicate_refused(update.condemned)
 
     def _load_board(self, board: Board) -> None:
--- a/src/wigeonpier/hosted/following.py
+++ b/src/wigeonpier/hosted/following.py
@@ -13,7 +13,7 @@
 from wigeonpier.hosted.views import make_unreadable_refusal
 
 if TYPE_CHECKING:
-    from wigeonpier.hosted.contact import StoreContact
+    from wigeonpier.hosted.contact import StoreHealth
     from wigeonpier.hosted.views import JobView, JobViews
 
 # Callers read about twice a second; a job that is not read for so long is no
@@ -50,10 +50,10 @@
 class FollowedJobs:
     """Keeps the views of jobs up to date as long as they are read."""
 
-    def __init__(self, views: JobViews, contact: StoreContact) -> None:
+    def __init__(self, views: JobViews, store_health: StoreHealth) -> None:
         """Start without followed jobs."""
         self._views = views
-        self._contact = contact
+        self._store_health = store_health
         self._follows: dict[str, _FollowedJob] = {}
 
     def find(self, name: str) -> JobView:
@@ -107,7 +107,7 @@
 
         :raises Refusal: if there was an outage since the call was started.
         """
-        if not self._contact.has_kept_since(follow.called_at):
+        if not self._store_health.has_kept_since(follow.called_at):
             raise make_unreadable_refusal()
 
     def _run(self, follow: _FollowedJob) -> None:
--- a/src/wigeonpier/hosted/loadfeed.py
+++ b/src/wigeonpier/hosted/loadfeed.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from wigeonpier.hosted.contact import StoreContact
+    from wigeonpier.hosted.contact import StoreHealth
     from wigeonpier.hosted.runner import ItemRunner
     from wigeonpier.hosted.upstream import LocalUpstream
     from wigeonpier.hosted.usagecounter import UsageCounter, UsageReport
@@ -45,7 +45,7 @@
         self,
         upstream: LocalUpstream,
         runner: ItemRunner,
-        contact: StoreContact,
+        store_health: StoreHealth,
         suspicions: Suspicions,
         usage: UsageCounter,
     ) -> None:
@@ -54,13 +54,13 @@
         :param upstream: the upstream on this VM.
         :param runner: runs batch items, which the load leaves out as far as
             they can be preempted.
-        :param contact: state of the connection to the store.
+        :param store_health: state of the connection to the store.
         :param suspicions: suspected requests, whose updates are streamed.
         :param usage: request counts of customers, which are streamed.
         """
         self._usage = usage
         self._suspicions = suspicions
-        self._contact = contact
+        self._store_health = store_health
         self.is_closed = False
         self._upstream = upstream
         self._runner = runner
@@ -87,14 +87,14 @@
             return OnlineLoad(
                 0,
                 takes_work=False,
-                has_store=not self._contact.is_lost,
+                has_store=not self._store_health.is_lost,
             )
         total = report.running + report.waiting
         return OnlineLoad(
             max(0, total - self._runner.count_yielding()),
             takes_work=not report.is_leaving,
             incarnation=report.incarnation,
-            has_store=not self._contact.is_lost,
+            has_store=not self._store_health.is_lost,
         )
 
     def _answer(self, _request: Request) -> Response:
--- a/src/wigeonpier/hosted/reach.py
+++ b/src/wigeonpier/hosted/reach.py
@@ -13,7 +13,7 @@
 from wigeonpier.telemetry.logs import log_event
 
 if TYPE_CHECKING:
-    from wigeonpier.hosted.contact import StoreContact
+    from wigeonpier.hosted.contact import StoreHealth
 
 # Isolation is detected at most this much late.
 CHECK_INTERVAL_SECONDS = 0.1
@@ -22,10 +22,10 @@
 class Reach:
     """Tracks contact with upstreams, and probes the store if there is none."""
 
-    def __init__(self, contact: StoreContact) -> None:
+    def __init__(self, store_health: StoreHealth) -> None:
         """Count as connected until a first contact was lost."""
         self.is_cut_off = False
-        self._contact = contact
+        self._store_health = store_health
         self._last_contact_at: float | None = None
 
     def start(self) -> None:
@@ -46,13 +46,13 @@
         silent_seconds = time.monotonic() - self._last_contact_at
         if (
             isolation.should_probe_store(silent_seconds)
-            and not self._contact.is_lost
+            and not self._store_health.is_lost
         ):
             # Without a call an unreachable store is not detected.
-            self._contact.ask()
+            self._store_health.ask()
         is_cut_off = isolation.is_isolated(
             time.monotonic() - self._last_contact_at,
-            has_store=not self._contact.is_lost,
+            has_store=not self._store_health.is_lost,
         )
         if is_cut_off and not self.is_cut_off:
             log_event(Event.reach_lost, silent=round(silent_seconds, 3))
--- a/src/wigeonpier/hosted/readings.py
+++ b/src/wigeonpier/hosted/readings.py
@@ -21,7 +21,7 @@
 from wigeonpier.web.server import Route, make_route
 
 if TYPE_CHECKING:
-    from wigeonpier.hosted.contact import StoreContact
+    from wigeonpier.hosted.contact import StoreHealth
     from wigeonpier.hosted.following import FollowedJobs
 
 READINGS_PATH = '/results/'
@@ -46,10 +46,10 @@
 class ReadingHandler:
     """Handles the calls of entries that read results."""
 
-    def __init__(self, jobs: FollowedJobs, contact: StoreContact) -> None:
+    def __init__(self, jobs: FollowedJobs, store_health: StoreHealth) -> None:
         """Answer from followed jobs while the store is reachable."""
         self._jobs = jobs
-        self._contact = contact
+        self._store_health = store_health
 
     def make_routes(self) -> list[Route]:
         """List the routes that entries call.
@@ -60,7 +60,7 @@
 
     def _answer(self, request: Request, name: str) -> Response:
         after, wait = _read_query(request.query)
-        if self._contact.is_lost:
+        if self._store_health.is_lost:
             raise make_unreadable_refusal()
         view = self._jobs.find(name)
         self._jobs.await_results(view, after, wait)
@@ -76,9 +76,9 @@
         one whose connection was lost.
         """
         min_answered_at = time.monotonic() - MAX_CONTACT_AGE_SECONDS
-        if not self._contact.has_answered_since(min_answered_at):
-            self._contact.ask()
-        if not self._contact.has_answered_since(min_answered_at):
+        if not self._store_health.has_answered_since(min_answered_at):
+            self._store_health.ask()
+        if not self._store_health.has_answered_since(min_answered_at):
             raise make_unreadable_refusal()
 
 
--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from wigeonpier.hosted.contact import StoreContact
+    from wigeonpier.hosted.contact import StoreHealth
     from wigeonpier.models import HostSettings, Replica
     from wigeonpier.platform.port import Entry
     from wigeonpier.platform.view import ViewFactory
@@ -53,7 +53,7 @@
         self,
         make_view: ViewFactory,
         settings: HostSettings,
-        contact: StoreContact,
+        store_health: StoreHealth,
         forget: Callable[[str], None],
     ) -> None:
         """Watch the register once started."""
@@ -66,7 +66,7 @@
         self._routed: list[UpstreamState] | None = None
         self._replaced_at = -math.inf
         self._settings = settings
-        self._contact = contact
+        self._store_health = store_health
         self._forget_address = forget
 
     def start(self) -> None:
@@ -231,8 +231,8 @@
         return False
 
     def _remove_after_grace(self, name: str, key: str) -> None:
-        since = time.monotonic() - self._contact.regained_at
-        remaining = self._contact.plan.keep - since
+        since = time.monotonic() - self._store_health.regained_at
+        remaining = self._store_health.plan.keep - since
         if remaining > 0:
             gevent.spawn_later(remaining, self._remove_if_absent, name, key)
         else:
--- a/src/wigeonpier/hosted/storage.py
+++ b/src/wigeonpier/hosted/storage.py
@@ -40,12 +40,12 @@
         self._quarantine = QuarantineReplica(
             settings.data_folder,
             common.store,
-            common.contact.wait,
+            common.store_health.wait,
         )
         self._dealer = Dealer(
             ledger,
             common.view,
-            common.contact,
+            common.store_health,
             common.draw,
         )
         self._janitor = Janitor(
@@ -57,7 +57,7 @@
             common.store,
             places.name_key(places.DISKS, settings.name),
             DiskMember(settings.name, settings.peers),
-            common.contact.wait,
+            common.store_health.wait,
         )
         self._retire = RetireHandler(
             settings.name,
@@ -67,8 +67,10 @@
             common.view,
         )
         readings = ReadingHandler(
-            FollowedJobs(JobViews(ledger, _is_never_on_disk), common.contact),
-            common.contact,
+            FollowedJobs(
+                JobViews(ledger, _is_never_on_disk), common.store_health
+            ),
+            common.store_health,
         )
         self._server = Server(
             *split_address(settings.peers),
--- a/src/wigeonpier/hosted/worker.py
+++ b/src/wigeonpier/hosted/worker.py
@@ -55,14 +55,14 @@
             common.pool,
             settings.upstream,
         )
-        self._writer = ResultWriter(ledger, common.contact.wait)
+        self._writer = ResultWriter(ledger, common.store_health.wait)
         slots = SlotTable()
         suspicions = Suspicions()
         trials = TrialTable()
         quarantine = QuarantineStore(
             common.store,
             suspicions,
-            common.contact.wait,
+            common.store_health.wait,
         )
         self._trials = ItemTrials(
             self._upstream,
@@ -88,7 +88,7 @@
         self._feed = LoadFeed(
             self._upstream,
             self._runner,
-            common.contact,
+            common.store_health,
             suspicions,
             usage,
         )
@@ -119,13 +119,13 @@
             self._runner,
             common.view,
             quarantine.read,
-            common.contact.wait,
+            common.store_health.wait,
         )
         self._membership = Membership(
             common.store,
             places.name_key(places.MEMBERS, settings.name),
             Member(settings.name, settings.service, settings.data_centre),
-            common.contact.wait,
+            common.store_health.wait,
         )
 
     def start(self) -> str:
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -19,15 +19,15 @@
 from wigeonpier.platform.register import name_replica
 
 if TYPE_CHECKING:
-    from wigeonpier.hosted.contact import StoreContact
+    from wigeonpier.hosted.contact import StoreHealth
 
 
 def _lose_store(site: HostedSite) -> None:
     """Stop the store, and wait until the entry has detected it."""
     site.store.faults.is_down = True
-    contact = site.entries[0]._common.contact
-    contact.ask()
-    wait_for(lambda: contact.is_lost, 'the loss is known')
+    store_health = site.entries[0]._common.store_health
+    store_health.ask()
+    wait_for(lambda: store_health.is_lost, 'the loss is known')
 
 
 def test_first_answer_wakes_all_views(site: HostedSite) -> None:
@@ -48,7 +48,7 @@
         lambda: not entry._replicas.view.entries,
         'the register is read again',
     )
-    plan = entry._common.contact.plan
+    plan = entry._common.store_health.plan
     assert time.monotonic() - returned_at < plan.max_blind_seconds + 0.2
 
 
@@ -98,7 +98,7 @@
     calls_before = _count_calls(site, wire.KEY_PATH)
     gevent.sleep(1)
     assert [_count_calls(site, path) for path in watched] == views
-    plan = site.entries[0]._common.contact.plan
+    plan = site.entries[0]._common.store_health.plan
     most = 1 / (plan.pause * SPREAD[0]) + 1
     assert 1 <= _count_calls(site, wire.KEY_PATH) - calls_before <= most
 
@@ -159,15 +159,15 @@
     assert site.call('POST', '/once/1', 'q1').status == 200
 
 
-def _cut_store_from_entry(site: HostedSite) -> StoreContact:
+def _cut_store_from_entry(site: HostedSite) -> StoreHealth:
     """Have only the entry lose the store, as a partition of its VM does."""
     common = site.entries[0]._common
     common.store.calls.address = f'127.0.0.1:{take_port()}'
     common.pool.forget(site.store_address)
-    common.contact.ask()
-    wait_for(lambda: common.contact.is_lost, 'the loss is known')
-    wait_for(common.contact.find_detour, 'a worker relays its calls')
-    return common.contact
+    common.store_health.ask()
+    wait_for(lambda: common.store_health.is_lost, 'the loss is known')
+    wait_for(common.store_health.find_detour, 'a worker relays its calls')
+    return common.store_health
 
 
 def test_entry_that_alone_lost_store_accepts_job(
@@ -186,7 +186,7 @@
     site: HostedSite,
 ) -> None:
     site.start()
-    contact = _cut_store_from_entry(site)
+    store_health = _cut_store_from_entry(site)
     site.store.put('op/config', make_configuration(7))
     site.store.compact()
     entry = site.entries[0]
@@ -194,7 +194,7 @@
         lambda: entry._configuration.get_version() == 7,
         'the configuration is in force',
     )
-    assert contact.is_lost
+    assert store_health.is_lost
 
 
 def test_no_worker_relays_calls_to_lost_store(
@@ -202,11 +202,16 @@
 ) -> None:
     site.start()
     site.store.faults.is_down = True
-    contact = site.entries[0]._common.contact
-    for common in [contact, *(w._common.contact for w in site.workers)]:
+    store_health = site.entries[0]._common.store_health
+    for common in [
+        store_health,
+        *(w._common.store_health for w in site.workers),
+    ]:
         common.ask()
-    wait_for(lambda: contact.is_lost, 'the loss is known')
-    wait_for(lambda: not contact.find_detour(), 'no worker offers to relay')
+    wait_for(lambda: store_health.is_lost, 'the loss is known')
+    wait_for(
+        lambda: not store_health.find_detour(), 'no worker offers to relay'
+    )
 
 
 def test_aborted_watch_restarts_with_read(
@@ -216,11 +221,11 @@
     site.start()
     common = site.entries[0]._common
     _cut_store_from_entry(site)
-    common.contact.note(0, is_answered=True)
+    common.store_health.note(0, is_answered=True)
     calls = site.store.calls.copy()
     result = common.store.await_changes('op/', 1, 0.1)
     assert isinstance(result, Err)
-    assert common.contact.find_detour()
+    assert common.store_health.find_detour()
     assert site.store.calls[wire.WATCH_PATH] == calls[wire.WATCH_PATH]
 
 
@@ -243,13 +248,16 @@
     )
     site.store.faults.is_deaf = True
     gevent.sleep(0.5)
-    contact = entry._common.contact
-    contact.ask()
-    wait_for(lambda: contact.is_lost, 'the loss is known')
+    store_health = entry._common.store_health
+    store_health.ask()
+    wait_for(lambda: store_health.is_lost, 'the loss is known')
     gevent.sleep(0.5)
     site.store.faults.is_deaf = False
     returned_at = time.monotonic()
-    wait_for(lambda: not contact.is_lost, 'the return is known')
+    wait_for(lambda: not store_health.is_lost, 'the return is known')
     site.replicas[0].register('suva-a')
     wait_for(lambda: entry._replicas.upstreams, 'the next change is applied')
-    assert time.monotonic() - returned_at < contact.plan.max_blind_seconds + 0.5
+    assert (
+        time.monotonic() - returned_at
+        < store_health.plan.max_blind_seconds + 0.5
+    )
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -103,7 +103,7 @@
     site.store.faults.is_down = False
     recovered_at = time.monotonic()
     wait_for(lambda: site.store.list_keys(STORED_PREFIX), 'the store has it')
-    plan = site.entries[0]._common.contact.plan
+    plan = site.entries[0]._common.store_health.plan
     assert time.monotonic() - recovered_at < plan.max_blind_seconds + 0.5
     wait_for(
         lambda: late_entry._suspicions.is_refused(culprit),
--- a/tests/hosted/test_reader.py
+++ b/tests/hosted/test_reader.py
@@ -79,7 +79,7 @@
     is_reachable: bool,
 ) -> None:
     """A call whose connection was lost looks like one that waits."""
-    contact = SimpleNamespace(
+    store_health = SimpleNamespace(
         is_lost=False,
         ask=lambda: None,
         has_answered_since=lambda _moment: is_reachable,
@@ -92,7 +92,7 @@
         ),
         await_results=lambda _view, _known, _wait: None,
     )
-    handler = ReadingHandler(jobs, contact)
+    handler = ReadingHandler(jobs, store_health)
     query = make_target('j', 0, 0.05).partition('?')[2]
     request = Request('GET', '/results/j', query, {}, None)
     if is_reachable:
@@ -106,8 +106,8 @@
     ledger: StandInLedger, *, has_kept: bool = True
 ) -> FollowedJobs:
     """Build followed jobs; ``has_kept`` is false after a store outage."""
-    contact = SimpleNamespace(has_kept_since=lambda _moment: has_kept)
-    return FollowedJobs(JobViews(ledger, lambda _name: False), contact)
+    store_health = SimpleNamespace(has_kept_since=lambda _moment: has_kept)
+    return FollowedJobs(JobViews(ledger, lambda _name: False), store_health)
 
 
 def test_a_job_that_was_not_read_for_a_while_is_refreshed() -> None:
--- a/tests/hosted/test_replicas.py
+++ b/tests/hosted/test_replicas.py
@@ -46,7 +46,7 @@
     """Make a register that nothing watches."""
     common = Common(make_settings('edge-0', '127.0.0.1:1'))
     return ReplicaRegister(
-        common.view, common.settings, common.contact, lambda _address: None
+        common.view, common.settings, common.store_health, lambda _address: None
     )
 
 
