--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -62,7 +62,7 @@
         store.calls.find_detour = self.find_detour
 
     @property
-    def is_lost(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Check whether the last call that was started got no answer."""
         return self._unreachable.is_set()
 
@@ -80,7 +80,7 @@
         :param moment: seconds of the monotonic clock.
         :returns: false if a call that was started then may never be answered.
         """
-        return not self.is_lost and self._lost_at < moment
+        return not self.is_unreachable and self._lost_at < moment
 
     def start(self) -> None:
         """Start to probe the store whenever it is unreachable."""
@@ -95,9 +95,9 @@
         """
         if is_answered:
             self._answered_at = time.monotonic()
-            if self.is_lost:
+            if self.is_unreachable:
                 self._record_return(self._answered_at)
-        elif started_at >= self._answered_at and not self.is_lost:
+        elif started_at >= self._answered_at and not self.is_unreachable:
             self._failed_at = started_at
             self._answered_until = self._answered_at
             self._lost_at = time.monotonic()
@@ -111,7 +111,7 @@
         :returns: the way to it, ``None`` as long as the store answers this
             process.
         """
-        return self.find_relay() if self.is_lost else None
+        return self.find_relay() if self.is_unreachable else None
 
     def ask(self) -> None:
         """Probe the store."""
@@ -123,7 +123,7 @@
         :param seconds: pause if the store answers other calls or a process
             relays them; otherwise its first answer ends the wait.
         """
-        if self.is_lost and self.find_relay() is None:
+        if self.is_unreachable and self.find_relay() is None:
             self._reachable.wait(MAX_WAIT_SECONDS)
         else:
             gevent.sleep(seconds)
@@ -142,5 +142,5 @@
     def _step(self) -> None:
         self._unreachable.wait()
         gevent.sleep(self.plan.pause * self._rng.uniform(*SPREAD))
-        if self.is_lost:
+        if self.is_unreachable:
             self.ask()
--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -80,7 +80,7 @@
     def _scan(self) -> None:
         """Find items of lost owners whose removal was not seen."""
         gevent.sleep(SWEEP_SECONDS * self._rng.uniform(1, 2))
-        if not self._view.is_complete or self._store_health.is_lost:
+        if not self._view.is_complete or self._store_health.is_unreachable:
             return
         # A stale read is enough here: membership is checked again before any
         # item is reassigned.
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -273,7 +273,7 @@
 
     def _receive_update(self, update: SuspicionUpdate) -> None:
         self._publisher.receive(update)
-        if self._common.store_health.is_lost:
+        if self._common.store_health.is_unreachable:
             self._quarantine.replicate_refused(update.condemned)
 
     def _load_board(self, board: Board) -> None:
--- a/src/wigeonpier/hosted/loadfeed.py
+++ b/src/wigeonpier/hosted/loadfeed.py
@@ -87,14 +87,14 @@
             return OnlineLoad(
                 0,
                 takes_work=False,
-                has_store=not self._store_health.is_lost,
+                has_store=not self._store_health.is_unreachable,
             )
         total = report.running + report.waiting
         return OnlineLoad(
             max(0, total - self._runner.count_yielding()),
             takes_work=not report.is_leaving,
             incarnation=report.incarnation,
-            has_store=not self._store_health.is_lost,
+            has_store=not self._store_health.is_unreachable,
         )
 
     def _answer(self, _request: Request) -> Response:
--- a/src/wigeonpier/hosted/reach.py
+++ b/src/wigeonpier/hosted/reach.py
@@ -46,13 +46,13 @@
         silent_seconds = time.monotonic() - self._last_contact_at
         if (
             isolation.should_probe_store(silent_seconds)
-            and not self._store_health.is_lost
+            and not self._store_health.is_unreachable
         ):
             # Without a call an unreachable store is not detected.
             self._store_health.ask()
         is_cut_off = isolation.is_isolated(
             time.monotonic() - self._last_contact_at,
-            has_store=not self._store_health.is_lost,
+            has_store=not self._store_health.is_unreachable,
         )
         if is_cut_off and not self.is_cut_off:
             log_event(Event.reach_lost, silent=round(silent_seconds, 3))
--- a/src/wigeonpier/hosted/readings.py
+++ b/src/wigeonpier/hosted/readings.py
@@ -60,7 +60,7 @@
 
     def _answer(self, request: Request, name: str) -> Response:
         after, wait = _read_query(request.query)
-        if self._store_health.is_lost:
+        if self._store_health.is_unreachable:
             raise make_unreadable_refusal()
         view = self._jobs.find(name)
         self._jobs.await_results(view, after, wait)
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -27,7 +27,7 @@
     site.store.faults.is_down = True
     store_health = site.entries[0]._common.store_health
     store_health.ask()
-    wait_for(lambda: store_health.is_lost, 'the loss is known')
+    wait_for(lambda: store_health.is_unreachable, 'the loss is known')
 
 
 def test_first_answer_wakes_all_views(site: HostedSite) -> None:
@@ -165,7 +165,7 @@
     common.store.calls.address = f'127.0.0.1:{take_port()}'
     common.pool.forget(site.store_address)
     common.store_health.ask()
-    wait_for(lambda: common.store_health.is_lost, 'the loss is known')
+    wait_for(lambda: common.store_health.is_unreachable, 'the loss is known')
     wait_for(common.store_health.find_detour, 'a worker relays its calls')
     return common.store_health
 
@@ -194,7 +194,7 @@
         lambda: entry._configuration.get_version() == 7,
         'the configuration is in force',
     )
-    assert store_health.is_lost
+    assert store_health.is_unreachable
 
 
 def test_no_worker_relays_calls_to_lost_store(
@@ -208,7 +208,7 @@
         *(w._common.store_health for w in site.workers),
     ]:
         common.ask()
-    wait_for(lambda: store_health.is_lost, 'the loss is known')
+    wait_for(lambda: store_health.is_unreachable, 'the loss is known')
     wait_for(
         lambda: not store_health.find_detour(), 'no worker offers to relay'
     )
@@ -250,11 +250,11 @@
     gevent.sleep(0.5)
     store_health = entry._common.store_health
     store_health.ask()
-    wait_for(lambda: store_health.is_lost, 'the loss is known')
+    wait_for(lambda: store_health.is_unreachable, 'the loss is known')
     gevent.sleep(0.5)
     site.store.faults.is_deaf = False
     returned_at = time.monotonic()
-    wait_for(lambda: not store_health.is_lost, 'the return is known')
+    wait_for(lambda: not store_health.is_unreachable, 'the return is known')
     site.replicas[0].register('suva-a')
     wait_for(lambda: entry._replicas.upstreams, 'the next change is applied')
     assert (
