--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -58,7 +58,7 @@
         self._unreachable = Signal()
         self._reachable = Signal()
         self._reachable.set()
-        store.calls.on_outcome = self.note
+        store.calls.on_outcome = self.record_call
         store.calls.find_detour = self.find_detour
 
     @property
@@ -86,7 +86,7 @@
         """Start to probe the store whenever it is unreachable."""
         spawn_loop('store contact', self._step)
 
-    def note(self, started_at: float, *, is_answered: bool) -> None:
+    def record_call(self, started_at: float, *, is_answered: bool) -> None:
         """Record the outcome of a call.
 
         :param started_at: when the call was made; a failure is ignored if the
@@ -113,7 +113,7 @@
         """
         return self.find_relay() if self.is_unreachable else None
 
-    def ask(self) -> None:
+    def probe(self) -> None:
         """Probe the store."""
         self._store.ask_sign(self.plan.call)
 
@@ -143,4 +143,4 @@
         self._unreachable.wait()
         gevent.sleep(self.plan.pause * self._rng.uniform(*SPREAD))
         if self.is_unreachable:
-            self.ask()
+            self.probe()
--- a/src/wigeonpier/hosted/reach.py
+++ b/src/wigeonpier/hosted/reach.py
@@ -49,7 +49,7 @@
             and not self._store_health.is_unreachable
         ):
             # Without a call an unreachable store is not detected.
-            self._store_health.ask()
+            self._store_health.probe()
         is_cut_off = isolation.is_isolated(
             time.monotonic() - self._last_contact_at,
             has_store=not self._store_health.is_unreachable,
--- a/src/wigeonpier/hosted/readings.py
+++ b/src/wigeonpier/hosted/readings.py
@@ -77,7 +77,7 @@
         """
         min_answered_at = time.monotonic() - MAX_CONTACT_AGE_SECONDS
         if not self._store_health.has_answered_since(min_answered_at):
-            self._store_health.ask()
+            self._store_health.probe()
         if not self._store_health.has_answered_since(min_answered_at):
             raise make_unreadable_refusal()
 
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -26,7 +26,7 @@
     """Stop the store, and wait until the entry has detected it."""
     site.store.faults.is_down = True
     store_health = site.entries[0]._common.store_health
-    store_health.ask()
+    store_health.probe()
     wait_for(lambda: store_health.is_unreachable, 'the loss is known')
 
 
@@ -164,7 +164,7 @@
     common = site.entries[0]._common
     common.store.calls.address = f'127.0.0.1:{take_port()}'
     common.pool.forget(site.store_address)
-    common.store_health.ask()
+    common.store_health.probe()
     wait_for(lambda: common.store_health.is_unreachable, 'the loss is known')
     wait_for(common.store_health.find_detour, 'a worker relays its calls')
     return common.store_health
@@ -207,7 +207,7 @@
         store_health,
         *(w._common.store_health for w in site.workers),
     ]:
-        common.ask()
+        common.probe()
     wait_for(lambda: store_health.is_unreachable, 'the loss is known')
     wait_for(
         lambda: not store_health.find_detour(), 'no worker offers to relay'
@@ -221,7 +221,7 @@
     site.start()
     common = site.entries[0]._common
     _cut_store_from_entry(site)
-    common.store_health.note(0, is_answered=True)
+    common.store_health.record_call(0, is_answered=True)
     calls = site.store.calls.copy()
     result = common.store.await_changes('op/', 1, 0.1)
     assert isinstance(result, Err)
@@ -249,7 +249,7 @@
     site.store.faults.is_deaf = True
     gevent.sleep(0.5)
     store_health = entry._common.store_health
-    store_health.ask()
+    store_health.probe()
     wait_for(lambda: store_health.is_unreachable, 'the loss is known')
     gevent.sleep(0.5)
     site.store.faults.is_deaf = False
--- a/tests/hosted/test_reader.py
+++ b/tests/hosted/test_reader.py
@@ -81,7 +81,7 @@
     """A call whose connection was lost looks like one that waits."""
     store_health = SimpleNamespace(
         is_unreachable=False,
-        ask=lambda: None,
+        probe=lambda: None,
         has_answered_since=lambda _moment: is_reachable,
     )
     jobs = SimpleNamespace(
