--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -74,7 +74,7 @@
         """
         return self._answered_at > moment
 
-    def has_kept_since(self, moment: float) -> bool:
+    def has_been_reachable_since(self, moment: float) -> bool:
         """Check whether the store has been reachable since a moment.
 
         :param moment: seconds of the monotonic clock.
--- a/src/wigeonpier/hosted/following.py
+++ b/src/wigeonpier/hosted/following.py
@@ -107,7 +107,7 @@
 
         :raises Refusal: if there was an outage since the call was started.
         """
-        if not self._store_health.has_kept_since(follow.called_at):
+        if not self._store_health.has_been_reachable_since(follow.called_at):
             raise make_unreadable_refusal()
 
     def _run(self, follow: _FollowedJob) -> None:
--- a/tests/hosted/test_reader.py
+++ b/tests/hosted/test_reader.py
@@ -103,10 +103,12 @@
 
 
 def build_followed_jobs(
-    ledger: StandInLedger, *, has_kept: bool = True
+    ledger: StandInLedger, *, was_reachable: bool = True
 ) -> FollowedJobs:
-    """Build followed jobs; ``has_kept`` is false after a store outage."""
-    store_health = SimpleNamespace(has_kept_since=lambda _moment: has_kept)
+    """Build followed jobs; ``was_reachable`` is false after a store outage."""
+    store_health = SimpleNamespace(
+        has_been_reachable_since=lambda _moment: was_reachable
+    )
     return FollowedJobs(JobViews(ledger, lambda _name: False), store_health)
 
 
@@ -124,7 +126,7 @@
 def test_a_call_begun_before_a_store_outage_confirms_nothing() -> None:
     """Its answer may have been lost in the outage."""
     ledger = StandInLedger()
-    jobs = build_followed_jobs(ledger, has_kept=False)
+    jobs = build_followed_jobs(ledger, was_reachable=False)
     view = jobs.find('j')
     with pytest.raises(Refusal):
         jobs.await_results(view, 0, 0.05)
