--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -59,7 +59,7 @@
         self._reachable = Signal()
         self._reachable.set()
         store.calls.on_outcome = self.record_call
-        store.calls.find_detour = self.find_detour
+        store.calls.find_relay_path = self.find_relay_path
 
     @property
     def is_unreachable(self) -> bool:
@@ -105,7 +105,7 @@
             self._unreachable.set()
             log_event(Event.platform_lost)
 
-    def find_detour(self) -> Way | None:
+    def find_relay_path(self) -> Way | None:
         """Choose a process that relays a call to the store.
 
         :returns: the way to it, ``None`` as long as the store answers this
--- a/src/wigeonpier/platform/calls.py
+++ b/src/wigeonpier/platform/calls.py
@@ -71,7 +71,7 @@
 class StoreCalls:
     """Sends calls, and reports the outcomes of those that are sent directly.
 
-    ``on_outcome`` is called after each direct call.  ``find_detour`` gives the
+    ``on_outcome`` is called after each direct call.  ``find_relay_path`` gives the
     relay to use while the service is unreachable, ``None`` for no relay.
     """
 
@@ -89,7 +89,7 @@
         """
         self.address = address
         self.on_outcome: Callable[..., None] | None = None
-        self.find_detour: Callable[[], Way | None] = lambda: None
+        self.find_relay_path: Callable[[], Way | None] = lambda: None
         self._pool = pool
         self._metrics = metrics
         # Watches in flight and their start times on the monotonic clock.
@@ -114,11 +114,11 @@
         :param timeout: longest time without any data, seconds.
         :returns: the answer.
         """
-        relay = self.find_detour()
+        relay = self.find_relay_path()
         if relay is not None:
             return self._send_by(relay, call, timeout)
         replied = self.send_directly(call, timeout)
-        relay = self.find_detour() if _may_resend(call, replied) else None
+        relay = self.find_relay_path() if _may_resend(call, replied) else None
         if relay is None:
             return replied
         return self._send_by(relay, call, timeout)
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -166,7 +166,7 @@
     common.pool.forget(site.store_address)
     common.store_health.probe()
     wait_for(lambda: common.store_health.is_unreachable, 'the loss is known')
-    wait_for(common.store_health.find_detour, 'a worker relays its calls')
+    wait_for(common.store_health.find_relay_path, 'a worker relays its calls')
     return common.store_health
 
 
@@ -210,7 +210,7 @@
         common.probe()
     wait_for(lambda: store_health.is_unreachable, 'the loss is known')
     wait_for(
-        lambda: not store_health.find_detour(), 'no worker offers to relay'
+        lambda: not store_health.find_relay_path(), 'no worker offers to relay'
     )
 
 
@@ -225,7 +225,7 @@
     calls = site.store.calls.copy()
     result = common.store.await_changes('op/', 1, 0.1)
     assert isinstance(result, Err)
-    assert common.store_health.find_detour()
+    assert common.store_health.find_relay_path()
     assert site.store.calls[wire.WATCH_PATH] == calls[wire.WATCH_PATH]
 
 
