--- a/src/wigeonpier/hosted/acceptance.py
+++ b/src/wigeonpier/hosted/acceptance.py
@@ -27,7 +27,7 @@
     from wigeonpier.hosted.board import Board
     from wigeonpier.hosted.holder import JobHolder
     from wigeonpier.hosted.ledger import JobLedger
-    from wigeonpier.hosted.reach import Reach
+    from wigeonpier.hosted.reach import IsolationDetector
     from wigeonpier.hosted.views import JobViews
     from wigeonpier.models import (
         JobItem,
@@ -95,11 +95,11 @@
         ledger: JobLedger,
         views: JobViews,
         holder: JobHolder,
-        reach: Reach,
+        isolation_detector: IsolationDetector,
         rng: random.Random,
     ) -> None:
         """Accept jobs into the ledger, or onto disks through the holder."""
-        self._reach = reach
+        self._isolation_detector = isolation_detector
         self._ledger = ledger
         self._views = views
         self._holder = holder
@@ -133,7 +133,11 @@
     def _choose_timeout(self, *, may_be_kept: bool) -> float:
         if may_be_kept:
             return UNCERTAIN_TIMEOUT_SECONDS
-        return 0 if self._reach.is_cut_off else ACCEPT_TIMEOUT_SECONDS
+        return (
+            0
+            if self._isolation_detector.is_isolated
+            else ACCEPT_TIMEOUT_SECONDS
+        )
 
     def _try_store(self, job: SubmittedJob) -> AcceptOutcome | Failure:
         read = self._ledger.read_board(STORE_TIMEOUT_SECONDS)
--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -20,7 +20,7 @@
 
     from wigeonpier.hosted.chooser import UpstreamChooser
     from wigeonpier.hosted.question import OnlineRequest
-    from wigeonpier.hosted.reach import Reach
+    from wigeonpier.hosted.reach import IsolationDetector
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.hosted.reserver import SlotReserver
     from wigeonpier.hosted.suspects import SuspectTracker
@@ -41,7 +41,7 @@
     :param replicas: upstreams that may be routed to.
     :param chooser: chooses among them.
     :param draw: source of randomness.
-    :param reach: whether any upstream can be reached.
+    :param isolation_detector: whether any upstream can be reached.
     :param reserver: reserves slots at the workers of the upstreams.
     :param suspects: tracks requests under which upstreams have crashed.
     :param trials: finds upstreams for these.
@@ -51,7 +51,7 @@
     replicas: ReplicaRegister
     chooser: UpstreamChooser
     draw: random.Random
-    reach: Reach
+    isolation_detector: IsolationDetector
     reserver: SlotReserver
     suspects: SuspectTracker
     trials: TrialPlacer
@@ -88,7 +88,9 @@
         # at two entries, crashed four upstreams within 0.43 s.
         if self.is_refused(request):
             return SendFailure.condemned
-        return SendFailure.cut_off if self.reach.is_cut_off else None
+        return (
+            SendFailure.cut_off if self.isolation_detector.is_isolated else None
+        )
 
     def is_refused(self, request: OnlineRequest) -> bool:
         """Check whether a request is no longer run.
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -26,7 +26,7 @@
 from wigeonpier.hosted.quarantine.publisher import QuarantinePublisher
 from wigeonpier.hosted.quarantine.store import QuarantineStore
 from wigeonpier.hosted.questions import RETRY_ELSEWHERE_SECONDS, OnlineHandler
-from wigeonpier.hosted.reach import Reach
+from wigeonpier.hosted.reach import IsolationDetector
 from wigeonpier.hosted.reader import JobReader
 from wigeonpier.hosted.relay import Relays
 from wigeonpier.hosted.replicas import ReplicaRegister
@@ -81,7 +81,7 @@
             common.store_health,
             common.pool.forget,
         )
-        self._reach = Reach(common.store_health)
+        self._isolation_detector = IsolationDetector(common.store_health)
         self._relays = Relays(split_address(settings.peers)[1], common.draw)
         common.store_health.find_relay = self._relays.find
         self._knowledge = ConfigurationKnowledge(
@@ -151,7 +151,13 @@
         self._jobs = JobHandler(
             ledger,
             views,
-            JobAcceptor(ledger, views, self._holder, self._reach, common.draw),
+            JobAcceptor(
+                ledger,
+                views,
+                self._holder,
+                self._isolation_detector,
+                common.draw,
+            ),
             JobReader(self._holder, common.pool, common.metrics),
             common.metrics,
         )
@@ -179,7 +185,7 @@
             self._replicas,
             self._loads,
             self._limiter,
-            self._reach,
+            self._isolation_detector,
             self._holder,
             self._callers,
         ):
@@ -202,7 +208,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether the balancer may send new callers here."""
-        if self._is_leaving or self._reach.is_cut_off:
+        if self._is_leaving or self._isolation_detector.is_isolated:
             return False
         if not self._replicas.view.is_complete:
             return False
@@ -248,7 +254,7 @@
             self._replicas,
             chooser,
             common.draw,
-            self._reach,
+            self._isolation_detector,
             reserver,
             suspects,
             TrialPlacer(chooser, reserver, suspects),
@@ -256,7 +262,7 @@
         return RequestSender(binder, common.pool)
 
     def _record_load(self, host: str, load: OnlineLoad) -> None:
-        self._reach.record_contact()
+        self._isolation_detector.record_contact()
         self._relays.note(host, has_store=load.has_store)
         self._limiter.record_contact(host)
 
@@ -306,7 +312,7 @@
 
         The caller then has time left to try another entry.
         """
-        if self._reach.is_cut_off:
+        if self._isolation_detector.is_isolated:
             raise Refusal(
                 ErrorKind.no_upstream,
                 'this entry is cut off',
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -275,12 +275,12 @@
             ran=Ran.unknown if request.runs else Ran.no,
         )
     if not request.runs:
-        is_cut_off = failure is SendFailure.cut_off
+        is_isolated = failure is SendFailure.cut_off
         return Refusal(
             ErrorKind.overloaded,
             failure.value,
             retry_seconds=RETRY_ELSEWHERE_SECONDS
-            if is_cut_off
+            if is_isolated
             else RETRY_AFTER_SECONDS,
         )
     if request.seconds_left <= 0:
--- a/src/wigeonpier/hosted/reach.py
+++ b/src/wigeonpier/hosted/reach.py
@@ -19,12 +19,12 @@
 CHECK_INTERVAL_SECONDS = 0.1
 
 
-class Reach:
+class IsolationDetector:
     """Tracks contact with upstreams, and probes the store if there is none."""
 
     def __init__(self, store_health: StoreHealth) -> None:
         """Count as connected until a first contact was lost."""
-        self.is_cut_off = False
+        self.is_isolated = False
         self._store_health = store_health
         self._last_contact_at: float | None = None
 
@@ -35,8 +35,8 @@
     def record_contact(self) -> None:
         """Record an answer or a message of an upstream or a worker."""
         self._last_contact_at = time.monotonic()
-        if self.is_cut_off:
-            self.is_cut_off = False
+        if self.is_isolated:
+            self.is_isolated = False
             log_event(Event.reach_regained)
 
     def _step(self) -> None:
@@ -50,10 +50,10 @@
         ):
             # Without a call an unreachable store is not detected.
             self._store_health.probe()
-        is_cut_off = isolation.is_isolated(
+        is_isolated = isolation.is_isolated(
             time.monotonic() - self._last_contact_at,
             has_store=not self._store_health.is_unreachable,
         )
-        if is_cut_off and not self.is_cut_off:
+        if is_isolated and not self.is_isolated:
             log_event(Event.reach_lost, silent=round(silent_seconds, 3))
-        self.is_cut_off = is_cut_off
+        self.is_isolated = is_isolated
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -185,7 +185,7 @@
         except OSError as error:
             request.release(is_broken=True)
             return Err(classify_disconnect(error))
-        self.binder.reach.record_contact()
+        self.binder.isolation_detector.record_contact()
         _record_load(upstream, exchange)
         failure = _check_head(request, upstream, exchange)
         if failure is not None:
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -194,7 +194,7 @@
         replicas,
         chooser,
         rng,
-        SimpleNamespace(is_cut_off=False, record_contact=lambda: None),
+        SimpleNamespace(is_isolated=False, record_contact=lambda: None),
         reserver,
         suspects,
         TrialPlacer(chooser, reserver, suspects),
