--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -263,7 +263,7 @@
 
     def _record_load(self, host: str, load: OnlineLoad) -> None:
         self._isolation_detector.record_contact()
-        self._relays.note(host, has_store=load.has_store)
+        self._relays.record_offer(host, has_store=load.has_store)
         self._limiter.record_contact(host)
 
     def _list_counters(self) -> list[str]:
--- a/src/wigeonpier/hosted/relay.py
+++ b/src/wigeonpier/hosted/relay.py
@@ -100,7 +100,7 @@
         self._rng = rng
         self._offered_at: dict[str, float] = {}
 
-    def note(self, host: str, *, has_store: bool) -> None:
+    def record_offer(self, host: str, *, has_store: bool) -> None:
         """Record the report of a worker.
 
         :param host: address of its VM.
