--- a/src/wigeonpier/hosted/itemtrials.py
+++ b/src/wigeonpier/hosted/itemtrials.py
@@ -129,7 +129,7 @@
                 was_alone=work.isolation == IsolationLevel.exclusive,
                 had_output=work.has_new_events,
             )
-            self.quarantine.note(work.fingerprint)
+            self.quarantine.record(work.fingerprint)
         return True
 
     def record_completion(self, work: ItemWork) -> None:
--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -66,7 +66,7 @@
         # Copies an entry to the disks.
         self.replicate: Callable[[str, bytes], object] = _ignore_entry
 
-    def note(self, fingerprint: str) -> None:
+    def record(self, fingerprint: str) -> None:
         """Store a request once it is refused.
 
         A request that has met its second crash is copied to the disks, which
--- a/src/wigeonpier/hosted/suspects.py
+++ b/src/wigeonpier/hosted/suspects.py
@@ -126,7 +126,7 @@
         self.metrics.count('suspected_total')
         self.publisher.publish(update, upstream.address)
         if update.ends:
-            self.quarantine.note(request.fingerprint)
+            self.quarantine.record(request.fingerprint)
 
     def record_possible_crash(
         self, request: OnlineRequest, upstream: UpstreamState
@@ -166,7 +166,7 @@
                     had_output=crash.had_output,
                 )
                 self.publisher.publish(update, upstream.address)
-                self.quarantine.note(crash.fingerprint)
+                self.quarantine.record(crash.fingerprint)
 
     def record_completion(
         self, request: OnlineRequest, upstream: UpstreamState
@@ -196,7 +196,7 @@
         update = self.suspicions.record_repeat(request.fingerprint)
         self.publisher.publish(update)
         if update.kept:
-            self.quarantine.note(request.fingerprint)
+            self.quarantine.record(request.fingerprint)
 
     def _get_run_mode_by_crashes(self, request: OnlineRequest) -> RunMode:
         if self.suspicions.is_empty:
