--- a/src/wigeonpier/hosted/customerpage.py
+++ b/src/wigeonpier/hosted/customerpage.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from wigeonpier.hosted.configuration import ConfigurationWatch
     from wigeonpier.hosted.customeruse import CustomerLimiter
-    from wigeonpier.hosted.knowledge import ConfigurationKnowledge
+    from wigeonpier.hosted.knowledge import ConfigurationFreshness
     from wigeonpier.served import ServedCustomer
 
 CUSTOMERS_PATH = '/customers'
@@ -61,17 +61,17 @@
     def __init__(
         self,
         configuration: ConfigurationWatch,
-        knowledge: ConfigurationKnowledge,
+        freshness: ConfigurationFreshness,
         limiter: CustomerLimiter,
     ) -> None:
         """Create the page.
 
         :param configuration: current configuration.
-        :param knowledge: age of that configuration.
+        :param freshness: age of that configuration.
         :param limiter: request counts.
         """
         self._configuration = configuration
-        self._knowledge = knowledge
+        self._freshness = freshness
         self._limiter = limiter
 
     def make_routes(self) -> list[Route]:
@@ -93,7 +93,7 @@
 
         :returns: seconds, negative if it never was.
         """
-        age = self._knowledge.measure().age
+        age = self._freshness.measure().age
         return age if age < float('inf') else -1
 
     def _show(self, _request: Request) -> Response:
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -19,7 +19,7 @@
 from wigeonpier.hosted.customeruse import CustomerLimiter
 from wigeonpier.hosted.holder import JobHolder
 from wigeonpier.hosted.jobs import JobHandler
-from wigeonpier.hosted.knowledge import ConfigurationKnowledge
+from wigeonpier.hosted.knowledge import ConfigurationFreshness
 from wigeonpier.hosted.ledger import JobLedger
 from wigeonpier.hosted.loadfollower import FeedListeners, LoadFollower
 from wigeonpier.hosted.proofs import FreshnessProver
@@ -84,7 +84,7 @@
         self._isolation_detector = IsolationDetector(common.store_health)
         self._relays = Relays(split_address(settings.peers)[1], common.draw)
         common.store_health.find_relay = self._relays.find
-        self._knowledge = ConfigurationKnowledge(
+        self._freshness = ConfigurationFreshness(
             self._configuration,
             settings.bounds.revocation,
             FreshnessProver(
@@ -181,7 +181,7 @@
         for component in (
             self._balancer,
             self._configuration,
-            self._knowledge,
+            self._freshness,
             self._replicas,
             self._loads,
             self._limiter,
@@ -213,7 +213,7 @@
         if not self._replicas.view.is_complete:
             return False
         is_known = self._configuration.current is not None
-        return is_known and self._knowledge.is_ready
+        return is_known and self._freshness.is_ready
 
     def _serve_operators(self) -> None:
         page = SuspectPage(self._suspicions, self._publisher, self._quarantine)
@@ -222,7 +222,7 @@
         metrics.add_gauge('refused_requests', page.count_refused)
         customers = CustomerPage(
             self._configuration,
-            self._knowledge,
+            self._freshness,
             self._limiter,
         )
         metrics.add_gauge('customers_limited', customers.count_refused)
@@ -326,13 +326,13 @@
                 authenticate_job_call(
                     request,
                     self._configuration.current,
-                    self._knowledge.measure(),
+                    self._freshness.measure(),
                 )
                 return call(request, found.group(1))
         routed = route_request(
             request,
             self._configuration.current,
-            self._knowledge.measure(),
+            self._freshness.measure(),
         )
         self._check_isolation()
         if routed.route.kind is RouteKind.batch:
--- a/src/wigeonpier/hosted/knowledge.py
+++ b/src/wigeonpier/hosted/knowledge.py
@@ -47,7 +47,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class ConfigurationKnowledge:
+class ConfigurationFreshness:
     """Periodically confirms that the active configuration is the newest."""
 
     def __init__(
--- a/tests/hosted/test_proofs.py
+++ b/tests/hosted/test_proofs.py
@@ -93,7 +93,7 @@
         lambda: ['reader:1'],
         random.Random(1),
     )
-    return knowledge.ConfigurationKnowledge(configuration, BOUND, prover.prove)
+    return knowledge.ConfigurationFreshness(configuration, BOUND, prover.prove)
 
 
 # The store responds late, and the reading is forwarded at once.
