--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -93,7 +93,7 @@
                 common.pool,
                 self._relays.list_addresses,
                 common.draw,
-            ).prove,
+            ).confirm,
         )
         self._suspicions = Suspicions()
         self._quarantine = QuarantineStore(
--- a/src/wigeonpier/hosted/knowledge.py
+++ b/src/wigeonpier/hosted/knowledge.py
@@ -54,18 +54,18 @@
         self,
         configuration: ConfigurationWatch,
         bound: float,
-        prove: Callable[[], Reading | None],
+        confirm: Callable[[], Reading | None],
     ) -> None:
         """Confirm a configuration that has customers.
 
         :param configuration: the active configuration.
         :param bound: seconds within which a revoked key must be rejected, 0
             for no bound.
-        :param prove: obtains a reading, ``None`` if there is no answer.
+        :param confirm: obtains a reading, ``None`` if there is no answer.
         """
         self._configuration = configuration
         self._bound = bound
-        self._prove = prove
+        self._confirm = confirm
         self._confirmed_at = -math.inf
         self._is_outdated = False
 
@@ -100,7 +100,7 @@
         age = self.measure().age
         self._report_age(age)
         if freshness.is_check_due(age, self._bound):
-            self._take(self._prove())
+            self._take(self._confirm())
         gevent.sleep(self._bound / CHECKS_PER_BOUND)
 
     def _take(self, reading: Reading | None) -> None:
--- a/src/wigeonpier/hosted/proofs.py
+++ b/src/wigeonpier/hosted/proofs.py
@@ -47,7 +47,7 @@
     list_readers: Callable[[], Iterable[str]]
     rng: random.Random
 
-    def prove(self) -> Reading | None:
+    def confirm(self) -> Reading | None:
         """Get a reading of the newest revision.
 
         :returns: the reading, ``None`` if there is none.
--- a/tests/hosted/test_proofs.py
+++ b/tests/hosted/test_proofs.py
@@ -93,7 +93,9 @@
         lambda: ['reader:1'],
         random.Random(1),
     )
-    return knowledge.ConfigurationFreshness(configuration, BOUND, prover.prove)
+    return knowledge.ConfigurationFreshness(
+        configuration, BOUND, prover.confirm
+    )
 
 
 # The store responds late, and the reading is forwarded at once.
@@ -109,7 +111,7 @@
         handler = newest.NewestRevisionHandler(world, BOUND)
         entry = make_entry(world, configuration, handler)
         for _round in range(8):
-            entry._take(entry._prove())
+            entry._take(entry._confirm())
             world.pass_time()
             sent_at = world.now
             # The process may stall before it checks the request.
@@ -128,7 +130,7 @@
     handler = newest.NewestRevisionHandler(world, BOUND)
     entries = [make_entry(world, Configuration(), handler) for _ in range(50)]
     for entry in entries:
-        entry._take(entry._prove())
+        entry._take(entry._confirm())
         world.now += 0.01
     assert world.readings == 1
     assert all(entry.measure().age < BOUND / 4 for entry in entries)
@@ -142,7 +144,7 @@
     entry = make_entry(
         world, configuration, newest.NewestRevisionHandler(world, BOUND)
     )
-    entry._take(entry._prove())
+    entry._take(entry._confirm())
     assert configuration.revision == NEW
     assert entry.measure().age < 0.1
 
@@ -159,7 +161,7 @@
         lambda: ['reader:1'],
         random.Random(1),
     )
-    assert prover.prove() is None
+    assert prover.confirm() is None
 
 
 def test_a_reading_message_contains_no_key(patched) -> None:
