--- a/src/wigeonpier/hosted/common.py
+++ b/src/wigeonpier/hosted/common.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Common:
+class DaemonContext:
     """Components that all hosted daemons share.
 
     :param settings: settings of the process.
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -51,7 +51,7 @@
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.board import Board
-    from wigeonpier.hosted.common import Common
+    from wigeonpier.hosted.common import DaemonContext
     from wigeonpier.membership.news import SuspicionUpdate
     from wigeonpier.models import OnlineLoad
     from wigeonpier.web.messages import Request
@@ -65,60 +65,60 @@
 class EntryApp:
     """The entry: serves online requests and calls on batch jobs."""
 
-    def __init__(self, common: Common) -> None:
+    def __init__(self, context: DaemonContext) -> None:
         """Wire the components; none is started yet.
 
-        :param common: what all daemons share.
+        :param context: what all daemons share.
         """
-        settings = common.settings
-        self._common = common
+        settings = context.settings
+        self._context = context
         self._is_leaving = False
         self._is_draining = False
-        self._configuration = ConfigurationWatch(common.view)
+        self._configuration = ConfigurationWatch(context.view)
         self._replicas = ReplicaRegister(
-            common.view,
+            context.view,
             settings,
-            common.store_health,
-            common.pool.forget,
+            context.store_health,
+            context.pool.forget,
         )
-        self._isolation_detector = IsolationDetector(common.store_health)
-        self._relays = Relays(split_address(settings.peers)[1], common.draw)
-        common.store_health.find_relay = self._relays.find
+        self._isolation_detector = IsolationDetector(context.store_health)
+        self._relays = Relays(split_address(settings.peers)[1], context.draw)
+        context.store_health.find_relay = self._relays.find
         self._freshness = ConfigurationFreshness(
             self._configuration,
             settings.bounds.revocation,
             FreshnessProver(
-                common.store,
+                context.store,
                 self._configuration,
-                common.pool,
+                context.pool,
                 self._relays.list_addresses,
-                common.draw,
+                context.draw,
             ).confirm,
         )
         self._suspicions = Suspicions()
         self._quarantine = QuarantineStore(
-            common.store,
+            context.store,
             self._suspicions,
-            common.store_health.wait,
+            context.store_health.wait,
         )
         self._publisher = SuspicionPublisher(
             self._suspicions,
             self._replicas,
-            common.pool,
+            context.pool,
             split_address(settings.peers)[1],
-            common.draw,
+            context.draw,
         )
         self._limiter = CustomerLimiter(
             settings.bounds,
-            common.pool,
+            context.pool,
             self._list_counters,
-            common.draw,
+            context.draw,
         )
         self._loads = LoadFollower(
             settings,
             self._replicas,
-            common.pool,
-            common.draw,
+            context.pool,
+            context.draw,
             FeedListeners(
                 self._record_load,
                 self._receive_update,
@@ -129,20 +129,20 @@
         self._online_handler = OnlineHandler(
             self._configuration,
             self._make_sender(),
-            common.metrics,
-            common.draw,
+            context.metrics,
+            context.draw,
             self._limiter,
         )
-        ledger = JobLedger(common.store)
+        ledger = JobLedger(context.store)
         self._holder = JobHolder(
             settings,
             ledger,
-            common.pool,
+            context.pool,
             on_board=self._load_board,
-            wait=common.store_health.wait,
+            wait=context.store_health.wait,
         )
         self._quarantine_copies = QuarantinePublisher(
-            common.pool,
+            context.pool,
             lambda: self._holder.board.disks.values(),
             self._quarantine.load,
         )
@@ -156,10 +156,10 @@
                 views,
                 self._holder,
                 self._isolation_detector,
-                common.draw,
+                context.draw,
             ),
-            JobReader(self._holder, common.pool, common.metrics),
-            common.metrics,
+            JobReader(self._holder, context.pool, context.metrics),
+            context.metrics,
         )
         self._job_calls = (
             (JOB_PATTERN, 'GET', self._jobs.read),
@@ -217,7 +217,7 @@
 
     def _serve_operators(self) -> None:
         page = SuspectPage(self._suspicions, self._publisher, self._quarantine)
-        metrics = self._common.metrics
+        metrics = self._context.metrics
         metrics.add_gauge('suspects', lambda: len(self._suspicions.suspects))
         metrics.add_gauge('refused_requests', page.count_refused)
         customers = CustomerPage(
@@ -227,39 +227,41 @@
         )
         metrics.add_gauge('customers_limited', customers.count_refused)
         metrics.add_gauge('knowledge_age_seconds', customers.measure_age)
-        self._common.serve_metrics(
+        self._context.serve_metrics(
             *page.make_routes(),
             *customers.make_routes(),
         )
 
     def _make_sender(self) -> RequestSender:
-        common = self._common
-        chooser = UpstreamChooser(common.settings, self._replicas, common.draw)
+        context = self._context
+        chooser = UpstreamChooser(
+            context.settings, self._replicas, context.draw
+        )
         reserver = SlotReserver(
-            split_address(common.settings.peers)[1],
-            common.pool,
-            common.metrics,
+            split_address(context.settings.peers)[1],
+            context.pool,
+            context.metrics,
             self._limiter,
         )
         suspects = SuspectTracker(
             self._suspicions,
             self._publisher,
-            CrashDetector(common.pool),
+            CrashDetector(context.pool),
             self._replicas,
-            common.metrics,
+            context.metrics,
             self._quarantine,
         )
         self._replicas.on_restart = suspects.record_replaced
         binder = SlotBinder(
             self._replicas,
             chooser,
-            common.draw,
+            context.draw,
             self._isolation_detector,
             reserver,
             suspects,
             TrialPlacer(chooser, reserver, suspects),
         )
-        return RequestSender(binder, common.pool)
+        return RequestSender(binder, context.pool)
 
     def _record_load(self, host: str, load: OnlineLoad) -> None:
         self._isolation_detector.record_contact()
@@ -268,7 +270,7 @@
 
     def _list_counters(self) -> list[str]:
         """List the counters whose load feeds are fresh."""
-        port = split_address(self._common.settings.peers)[1]
+        port = split_address(self._context.settings.peers)[1]
         now = time.monotonic()
         hosts = [
             split_address(state.address)[0]
@@ -279,7 +281,7 @@
 
     def _receive_update(self, update: SuspicionUpdate) -> None:
         self._publisher.receive(update)
-        if self._common.store_health.is_unreachable:
+        if self._context.store_health.is_unreachable:
             self._quarantine.replicate_refused(update.condemned)
 
     def _load_board(self, board: Board) -> None:
--- a/src/wigeonpier/hosted/main.py
+++ b/src/wigeonpier/hosted/main.py
@@ -10,7 +10,7 @@
 
 import gevent
 
-from wigeonpier.hosted.common import APPLIED_AT_ONCE, Common
+from wigeonpier.hosted.common import APPLIED_AT_ONCE, DaemonContext
 from wigeonpier.hosted.entry import EntryApp
 from wigeonpier.hosted.storage import StorageApp
 from wigeonpier.hosted.worker import WorkerApp
@@ -29,7 +29,7 @@
 USAGE_STATUS = 2
 # Reserved for the last bytes of answers before the platform kills the process.
 KILL_MARGIN_SECONDS = 0.6
-ROLES: MappingProxyType[str, Callable[[Common], App]] = MappingProxyType(
+ROLES: MappingProxyType[str, Callable[[DaemonContext], App]] = MappingProxyType(
     {'entry': EntryApp, 'worker': WorkerApp, 'storage': StorageApp},
 )
 
@@ -60,22 +60,22 @@
         return USAGE_STATUS
     sink = LineSink(sys.stdout)
     configure_logs(settings.name, parsed.log_level, sink)
-    common = Common(settings)
-    gevent.signal_handler(signal.SIGHUP, reload, common, parsed.settings)
-    common.metrics.add_gauge('log_lines_dropped', lambda: sink.dropped)
+    context = DaemonContext(settings)
+    gevent.signal_handler(signal.SIGHUP, reload, context, parsed.settings)
+    context.metrics.add_gauge('log_lines_dropped', lambda: sink.dropped)
     status = run_until_signal(
         parsed.role,
         settings.bounds.grace - KILL_MARGIN_SECONDS,
-        ROLES[parsed.role](common),
+        ROLES[parsed.role](context),
     )
     sink.drain()
     return status
 
 
-def reload(common: Common, path: str) -> None:
+def reload(context: DaemonContext, path: str) -> None:
     """Reload the settings, and keep the current ones if the file is invalid.
 
-    :param common: components that use the settings.
+    :param context: components that use the settings.
     :param path: the settings file.
     """
     try:
@@ -83,7 +83,7 @@
     except DocumentError as error:
         log_event(Event.settings_refused, problem=str(error))
         return
-    changed = common.apply(settings)
+    changed = context.apply(settings)
     log_event(
         Event.settings_reloaded,
         applied=sorted(changed & APPLIED_AT_ONCE),
--- a/src/wigeonpier/hosted/storage.py
+++ b/src/wigeonpier/hosted/storage.py
@@ -20,7 +20,7 @@
 from wigeonpier.web.server import Server, dispatch_to
 
 if TYPE_CHECKING:
-    from wigeonpier.hosted.common import Common
+    from wigeonpier.hosted.common import DaemonContext
 
 
 class StorageApp:
@@ -31,46 +31,46 @@
     removes old jobs, and empties its disk before the VM is retired.
     """
 
-    def __init__(self, common: Common) -> None:
+    def __init__(self, context: DaemonContext) -> None:
         """Create the components without starting them."""
-        settings = common.settings
-        ledger = JobLedger(common.store)
-        self._common = common
-        self._intake = Intake(settings.data_folder, ledger, common.draw)
+        settings = context.settings
+        ledger = JobLedger(context.store)
+        self._context = context
+        self._intake = Intake(settings.data_folder, ledger, context.draw)
         self._quarantine = QuarantineReplica(
             settings.data_folder,
-            common.store,
-            common.store_health.wait,
+            context.store,
+            context.store_health.wait,
         )
         self._dealer = Dealer(
             ledger,
-            common.view,
-            common.store_health,
-            common.draw,
+            context.view,
+            context.store_health,
+            context.draw,
         )
         self._janitor = Janitor(
             ledger,
             settings.bounds.job_readable,
-            common.draw,
+            context.draw,
         )
         self._disk = Membership(
-            common.store,
+            context.store,
             places.name_key(places.DISKS, settings.name),
             DiskMember(settings.name, settings.peers),
-            common.store_health.wait,
+            context.store_health.wait,
         )
         self._retire = RetireHandler(
             settings.name,
             ledger,
             self._intake,
             self._disk,
-            common.view,
+            context.view,
         )
         readings = ReadingHandler(
             FollowedJobs(
-                JobViews(ledger, _is_never_on_disk), common.store_health
+                JobViews(ledger, _is_never_on_disk), context.store_health
             ),
-            common.store_health,
+            context.store_health,
         )
         self._server = Server(
             *split_address(settings.peers),
@@ -86,7 +86,7 @@
 
         :returns: address for entries.
         """
-        self._common.serve_metrics()
+        self._context.serve_metrics()
         self._server.start()
         self._disk.is_wanted = True
         self._disk.start()
--- a/src/wigeonpier/hosted/worker.py
+++ b/src/wigeonpier/hosted/worker.py
@@ -32,7 +32,7 @@
 from wigeonpier.web.server import Server, dispatch_to
 
 if TYPE_CHECKING:
-    from wigeonpier.hosted.common import Common
+    from wigeonpier.hosted.common import DaemonContext
 
 LEAVE_POLL_SECONDS = 0.05
 USABLE_POLL_SECONDS = 0.1
@@ -45,37 +45,37 @@
     for online requests.
     """
 
-    def __init__(self, common: Common) -> None:
+    def __init__(self, context: DaemonContext) -> None:
         """Create the components without starting them."""
-        settings = common.settings
-        ledger = JobLedger(common.store)
-        self._common = common
+        settings = context.settings
+        ledger = JobLedger(context.store)
+        self._context = context
         self._upstream = LocalUpstream(
-            common.store,
-            common.pool,
+            context.store,
+            context.pool,
             settings.upstream,
         )
-        self._writer = ResultWriter(ledger, common.store_health.wait)
+        self._writer = ResultWriter(ledger, context.store_health.wait)
         slots = SlotTable()
         suspicions = Suspicions()
         trials = TrialTable()
         quarantine = QuarantineStore(
-            common.store,
+            context.store,
             suspicions,
-            common.store_health.wait,
+            context.store_health.wait,
         )
         self._trials = ItemTrials(
             self._upstream,
             suspicions,
             trials,
-            CrashDetector(common.pool),
+            CrashDetector(context.pool),
             quarantine,
         )
         self._runner = ItemRunner(
             self._upstream,
             self._writer,
-            common.pool,
-            common.metrics,
+            context.pool,
+            context.metrics,
             slots,
             self._trials,
         )
@@ -88,12 +88,14 @@
         self._feed = LoadFeed(
             self._upstream,
             self._runner,
-            common.store_health,
+            context.store_health,
             suspicions,
             usage,
         )
-        newest = NewestRevisionHandler(common.store, settings.bounds.revocation)
-        relay = RelayHandler(common.store.calls, common.pool)
+        newest = NewestRevisionHandler(
+            context.store, settings.bounds.revocation
+        )
+        relay = RelayHandler(context.store.calls, context.pool)
         reservations = ReservationHandler(
             self._upstream,
             self._runner,
@@ -117,15 +119,15 @@
             settings.name,
             ledger,
             self._runner,
-            common.view,
+            context.view,
             quarantine.read,
-            common.store_health.wait,
+            context.store_health.wait,
         )
         self._membership = Membership(
-            common.store,
+            context.store,
             places.name_key(places.MEMBERS, settings.name),
             Member(settings.name, settings.service, settings.data_centre),
-            common.store_health.wait,
+            context.store_health.wait,
         )
 
     def start(self) -> str:
@@ -133,7 +135,7 @@
 
         :returns: address for entries.
         """
-        self._common.serve_metrics()
+        self._context.serve_metrics()
         self._server.start()
         spawn_loop('upstream', self._upstream.follow)
         for part in (
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -18,7 +18,7 @@
 from wigeonpier.bench.store import StandInStore
 from wigeonpier.hosted.binder import SlotBinder
 from wigeonpier.hosted.chooser import UpstreamChooser
-from wigeonpier.hosted.common import Common
+from wigeonpier.hosted.common import DaemonContext
 from wigeonpier.hosted.entry import EntryApp
 from wigeonpier.hosted.question import OnlineRequest
 from wigeonpier.hosted.reserver import Answer
@@ -271,8 +271,8 @@
         replica = StandInReplica(name, SERVICE, self.store, **shape)
         host = f'127.0.0.{FIRST_VM + len(self.replicas)}'
         replica.start(DATA_CENTRE, host)
-        common = self._make_common(f'side-{name}', replica.address, host)
-        worker = WorkerApp(common)
+        context = self._make_common(f'side-{name}', replica.address, host)
+        worker = WorkerApp(context)
         worker.start()
         self.replicas.append(replica)
         self.workers.append(worker)
@@ -289,7 +289,7 @@
         """Start a process with a disk."""
         folder = tempfile.mkdtemp()
         settings = make_settings(name, self.store_address, folder=folder)
-        disk = StorageApp(Common(settings))
+        disk = StorageApp(DaemonContext(settings))
         disk.start()
         self.disks.append(disk)
 
@@ -298,8 +298,8 @@
         name: str,
         upstream: str = '',
         host: str = '127.0.0.1',
-    ) -> Common:
-        return Common(
+    ) -> DaemonContext:
+        return DaemonContext(
             make_settings(
                 name,
                 self.store_address,
--- a/tests/hosted/test_assignments.py
+++ b/tests/hosted/test_assignments.py
@@ -12,7 +12,7 @@
 
 from tests.hosted.builders import make_open_job, make_settings
 from wigeonpier.hosted.assignments import AssignmentFollower
-from wigeonpier.hosted.common import Common
+from wigeonpier.hosted.common import DaemonContext
 from wigeonpier.hosted.ledger import JobHead, StoredJob
 from wigeonpier.models import Assignment, ItemProgress, JobItem
 from wigeonpier.platform import places
@@ -78,7 +78,7 @@
         'vm',
         SlowLedger(),
         runner,
-        Common(make_settings('side-0', '127.0.0.1:1')).view,
+        DaemonContext(make_settings('side-0', '127.0.0.1:1')).view,
         lambda: None,
     )
     follower.view.is_complete = True
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -25,7 +25,7 @@
 def _lose_store(site: HostedSite) -> None:
     """Stop the store, and wait until the entry has detected it."""
     site.store.faults.is_down = True
-    store_health = site.entries[0]._common.store_health
+    store_health = site.entries[0]._context.store_health
     store_health.probe()
     wait_for(lambda: store_health.is_unreachable, 'the loss is known')
 
@@ -48,7 +48,7 @@
         lambda: not entry._replicas.view.entries,
         'the register is read again',
     )
-    plan = entry._common.store_health.plan
+    plan = entry._context.store_health.plan
     assert time.monotonic() - returned_at < plan.max_blind_seconds + 0.2
 
 
@@ -74,12 +74,12 @@
         'it is routed to no more',
     )
     kept_seconds = time.monotonic() - returned_at
-    assert 2.0 < kept_seconds < entry._common.settings.bounds.contact
+    assert 2.0 < kept_seconds < entry._context.settings.bounds.contact
 
 
 def _count_calls(site: HostedSite, path: str) -> float:
     """Count the calls to the store that the entry made on a path."""
-    lines = site.entries[0]._common.metrics.render().splitlines()
+    lines = site.entries[0]._context.metrics.render().splitlines()
     return sum(
         float(line.rpartition(' ')[2])
         for line in lines
@@ -98,7 +98,7 @@
     calls_before = _count_calls(site, wire.KEY_PATH)
     gevent.sleep(1)
     assert [_count_calls(site, path) for path in watched] == views
-    plan = site.entries[0]._common.store_health.plan
+    plan = site.entries[0]._context.store_health.plan
     most = 1 / (plan.pause * SPREAD[0]) + 1
     assert 1 <= _count_calls(site, wire.KEY_PATH) - calls_before <= most
 
@@ -161,13 +161,13 @@
 
 def _cut_store_from_entry(site: HostedSite) -> StoreHealth:
     """Have only the entry lose the store, as a partition of its VM does."""
-    common = site.entries[0]._common
-    common.store.calls.address = f'127.0.0.1:{take_port()}'
-    common.pool.forget(site.store_address)
-    common.store_health.probe()
-    wait_for(lambda: common.store_health.is_unreachable, 'the loss is known')
-    wait_for(common.store_health.find_relay_path, 'a worker relays its calls')
-    return common.store_health
+    context = site.entries[0]._context
+    context.store.calls.address = f'127.0.0.1:{take_port()}'
+    context.pool.forget(site.store_address)
+    context.store_health.probe()
+    wait_for(lambda: context.store_health.is_unreachable, 'the loss is known')
+    wait_for(context.store_health.find_relay_path, 'a worker relays its calls')
+    return context.store_health
 
 
 def test_entry_that_alone_lost_store_accepts_job(
@@ -202,12 +202,12 @@
 ) -> None:
     site.start()
     site.store.faults.is_down = True
-    store_health = site.entries[0]._common.store_health
-    for common in [
+    store_health = site.entries[0]._context.store_health
+    for context in [
         store_health,
-        *(w._common.store_health for w in site.workers),
+        *(w._context.store_health for w in site.workers),
     ]:
-        common.probe()
+        context.probe()
     wait_for(lambda: store_health.is_unreachable, 'the loss is known')
     wait_for(
         lambda: not store_health.find_relay_path(), 'no worker offers to relay'
@@ -219,13 +219,13 @@
 ) -> None:
     """Resumed at its revision, it waited for changes that were dropped."""
     site.start()
-    common = site.entries[0]._common
+    context = site.entries[0]._context
     _cut_store_from_entry(site)
-    common.store_health.record_call(0, is_answered=True)
+    context.store_health.record_call(0, is_answered=True)
     calls = site.store.calls.copy()
-    result = common.store.await_changes('op/', 1, 0.1)
+    result = context.store.await_changes('op/', 1, 0.1)
     assert isinstance(result, Err)
-    assert common.store_health.find_relay_path()
+    assert context.store_health.find_relay_path()
     assert site.store.calls[wire.WATCH_PATH] == calls[wire.WATCH_PATH]
 
 
@@ -248,7 +248,7 @@
     )
     site.store.faults.is_deaf = True
     gevent.sleep(0.5)
-    store_health = entry._common.store_health
+    store_health = entry._context.store_health
     store_health.probe()
     wait_for(lambda: store_health.is_unreachable, 'the loss is known')
     gevent.sleep(0.5)
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -103,7 +103,7 @@
     site.store.faults.is_down = False
     recovered_at = time.monotonic()
     wait_for(lambda: site.store.list_keys(STORED_PREFIX), 'the store has it')
-    plan = site.entries[0]._common.store_health.plan
+    plan = site.entries[0]._context.store_health.plan
     assert time.monotonic() - recovered_at < plan.max_blind_seconds + 0.5
     wait_for(
         lambda: late_entry._suspicions.is_refused(culprit),
@@ -180,7 +180,7 @@
     caller.repeat_until_refused()
     culprit = find_culprit(site)
     wait_for(lambda: site.store.list_keys(STORED_PREFIX), 'the store has it')
-    address = site.entries[1]._common.settings.metrics
+    address = site.entries[1]._context.settings.metrics
     assert main(['suspects', address]) == 0
     (row,) = [
         line
--- a/tests/hosted/test_customers.py
+++ b/tests/hosted/test_customers.py
@@ -207,7 +207,7 @@
     wait_for(lambda: len(list_received(served)) >= 9, 'items run')
     written.write(str(capfd.readouterr()))
     for disk in served.disks:
-        folder = Path(disk._common.settings.data_folder)
+        folder = Path(disk._context.settings.data_folder)
         for path in folder.rglob('*'):
             if path.is_file():
                 written.write(path.read_text(errors='replace'))
@@ -216,9 +216,9 @@
             written.write(f'{key} {msgspec.to_builtins(cell)}')
             written.write(str(base64.b64decode(cell.value)))
     for entry in served.entries:
-        written.write(entry._common.metrics.render())
+        written.write(entry._context.metrics.render())
     for worker in served.workers:
-        written.write(worker._common.metrics.render())
+        written.write(worker._context.metrics.render())
     written.write(str(list_received(served)))
     assert KEY not in written.getvalue()
 
--- a/tests/hosted/test_limits.py
+++ b/tests/hosted/test_limits.py
@@ -74,7 +74,7 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     call_all(limited, 45)
-    address = limited.entries[0]._common.settings.metrics
+    address = limited.entries[0]._context.settings.metrics
     assert main(['customers', address, '--json']) == 0
     shown = msgspec.json.decode(capsys.readouterr().out.splitlines()[-1])
     first = next(
--- a/tests/hosted/test_reader.py
+++ b/tests/hosted/test_reader.py
@@ -25,7 +25,7 @@
     return sum(
         int(float(line.rpartition(' ')[2]))
         for entry in site.entries
-        for line in entry._common.metrics.render().splitlines()
+        for line in entry._context.metrics.render().splitlines()
         if RANGE_METRIC_PREFIX in line
     )
 
--- a/tests/hosted/test_replicas.py
+++ b/tests/hosted/test_replicas.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tests.hosted.builders import SERVICE, make_settings
-from wigeonpier.hosted.common import Common
+from wigeonpier.hosted.common import DaemonContext
 from wigeonpier.hosted.replicas import ReplicaRegister
 from wigeonpier.platform.port import Change
 
@@ -44,9 +44,12 @@
 
 def build_register() -> ReplicaRegister:
     """Make a register that nothing watches."""
-    common = Common(make_settings('edge-0', '127.0.0.1:1'))
+    context = DaemonContext(make_settings('edge-0', '127.0.0.1:1'))
     return ReplicaRegister(
-        common.view, common.settings, common.store_health, lambda _address: None
+        context.view,
+        context.settings,
+        context.store_health,
+        lambda _address: None,
     )
 
 
