--- a/src/wigeonpier/hosted/acceptance.py
+++ b/src/wigeonpier/hosted/acceptance.py
@@ -25,7 +25,7 @@
     import random
 
     from wigeonpier.hosted.board import Board
-    from wigeonpier.hosted.holder import JobHolder
+    from wigeonpier.hosted.holder import DiskJobWriter
     from wigeonpier.hosted.ledger import JobLedger
     from wigeonpier.hosted.reach import IsolationDetector
     from wigeonpier.hosted.views import JobViews
@@ -94,15 +94,15 @@
         self,
         ledger: JobLedger,
         views: JobViews,
-        holder: JobHolder,
+        disk_job_writer: DiskJobWriter,
         isolation_detector: IsolationDetector,
         rng: random.Random,
     ) -> None:
-        """Accept jobs into the ledger, or onto disks through the holder."""
+        """Accept jobs into the ledger, or onto disks."""
         self._isolation_detector = isolation_detector
         self._ledger = ledger
         self._views = views
-        self._holder = holder
+        self._disk_job_writer = disk_job_writer
         self._rng = rng
         # Tokens of jobs stored on disks since the board was last read.
         self._disk_tokens: Counter[tuple[str, str]] = Counter()
@@ -122,7 +122,7 @@
             if not isinstance(outcome, Failure):
                 return outcome
             disk_write = self._try_disks(job)
-            if disk_write.copies >= self._holder.copies_needed:
+            if disk_write.copies >= self._disk_job_writer.copies_needed:
                 return AcceptOutcome.disks
             may_be_kept |= disk_write.may_be_kept or outcome is Failure.unknown
             timeout = self._choose_timeout(may_be_kept=may_be_kept)
@@ -144,7 +144,7 @@
         if isinstance(read, Err):
             return read.err_value
         board = read.ok_value
-        self._holder.record_board(board)
+        self._disk_job_writer.record_board(board)
         self._disk_tokens.clear()
         if job.name in board.jobs:
             return AcceptOutcome.stood
@@ -181,7 +181,7 @@
 
     def _try_disks(self, job: SubmittedJob) -> DiskWrite:
         """Store a job on the disks since the store does not accept it now."""
-        waiting = _sum_tokens(self._holder.board, job)
+        waiting = _sum_tokens(self._disk_job_writer.board, job)
         if not may_accept_unchecked(
             waiting,
             self._disk_tokens[job.account],
@@ -189,8 +189,10 @@
             job.route.most_tokens,
         ):
             return DiskWrite()
-        disk_write = self._holder.hold(self._make_open_job(job), job.items)
-        if disk_write.copies >= self._holder.copies_needed:
+        disk_write = self._disk_job_writer.store_on_disks(
+            self._make_open_job(job), job.items
+        )
+        if disk_write.copies >= self._disk_job_writer.copies_needed:
             self._disk_tokens[job.account] += job.tokens
         return disk_write
 
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -17,7 +17,7 @@
 from wigeonpier.hosted.configuration import ConfigurationWatch
 from wigeonpier.hosted.customerpage import CustomerPage
 from wigeonpier.hosted.customeruse import CustomerLimiter
-from wigeonpier.hosted.holder import JobHolder
+from wigeonpier.hosted.holder import DiskJobWriter
 from wigeonpier.hosted.jobs import JobHandler
 from wigeonpier.hosted.knowledge import ConfigurationFreshness
 from wigeonpier.hosted.ledger import JobLedger
@@ -134,7 +134,7 @@
             self._limiter,
         )
         ledger = JobLedger(context.store)
-        self._holder = JobHolder(
+        self._disk_job_writer = DiskJobWriter(
             settings,
             ledger,
             context.pool,
@@ -143,22 +143,22 @@
         )
         self._quarantine_copies = QuarantinePublisher(
             context.pool,
-            lambda: self._holder.board.disks.values(),
+            lambda: self._disk_job_writer.board.disks.values(),
             self._quarantine.load,
         )
         self._quarantine.replicate = self._quarantine_copies.replicate
-        views = JobViews(ledger, self._holder.is_held)
+        views = JobViews(ledger, self._disk_job_writer.may_be_on_disk)
         self._jobs = JobHandler(
             ledger,
             views,
             JobAcceptor(
                 ledger,
                 views,
-                self._holder,
+                self._disk_job_writer,
                 self._isolation_detector,
                 context.draw,
             ),
-            JobReader(self._holder, context.pool, context.metrics),
+            JobReader(self._disk_job_writer, context.pool, context.metrics),
             context.metrics,
         )
         self._job_calls = (
@@ -186,7 +186,7 @@
             self._loads,
             self._limiter,
             self._isolation_detector,
-            self._holder,
+            self._disk_job_writer,
             self._callers,
         ):
             component.start()
--- a/src/wigeonpier/hosted/holder.py
+++ b/src/wigeonpier/hosted/holder.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class JobHolder:
+class DiskJobWriter:
     """Sends jobs to the processes with disks.
 
     :param settings: settings of the process.
@@ -102,7 +102,7 @@
         self.read_at = time.monotonic()
         self.on_board(board)
 
-    def is_held(self, name: str) -> bool:
+    def may_be_on_disk(self, name: str) -> bool:
         """Check whether disks may hold a job that the store lacks.
 
         :param name: id of the job.
@@ -114,7 +114,7 @@
             and time.monotonic() - moment < ASSUME_ON_DISK_SECONDS
         )
 
-    def hold(self, job: OpenJob, items: list[JobItem]) -> DiskWrite:
+    def store_on_disks(self, job: OpenJob, items: list[JobItem]) -> DiskWrite:
         """Store a job on all known disks.
 
         :param job: the job.
--- a/src/wigeonpier/hosted/reader.py
+++ b/src/wigeonpier/hosted/reader.py
@@ -13,7 +13,7 @@
 from wigeonpier.web.exchange import make_request
 
 if TYPE_CHECKING:
-    from wigeonpier.hosted.holder import JobHolder
+    from wigeonpier.hosted.holder import DiskJobWriter
     from wigeonpier.models import DiskMember
     from wigeonpier.telemetry.metrics import Metrics
     from wigeonpier.web.pool import ConnectionPool
@@ -31,12 +31,12 @@
 
     def __init__(
         self,
-        holder: JobHolder,
+        disk_job_writer: DiskJobWriter,
         pool: ConnectionPool,
         metrics: Metrics,
     ) -> None:
-        """Read from the processes on the holder's board."""
-        self._holder = holder
+        """Read from the processes on the disk job writer's board."""
+        self._disk_job_writer = disk_job_writer
         self._pool = pool
         self._metrics = metrics
         self._avoid_until: dict[str, float] = {}
@@ -71,11 +71,11 @@
         now = time.monotonic()
         available = [
             name
-            for name in self._holder.board.disks
+            for name in self._disk_job_writer.board.disks
             if self._avoid_until.get(name, 0) <= now
         ]
         ranked = rank_by_key(available, job)
-        return self._holder.board.disks[ranked[0]] if ranked else None
+        return self._disk_job_writer.board.disks[ranked[0]] if ranked else None
 
     def _count(self, outcome: str) -> None:
         self._metrics.count('readings_total', outcome=outcome)
--- a/src/wigeonpier/hosted/views.py
+++ b/src/wigeonpier/hosted/views.py
@@ -96,16 +96,16 @@
     def __init__(
         self,
         ledger: JobLedger,
-        is_held: Callable[[str], bool],
+        may_be_on_disk: Callable[[str], bool],
     ) -> None:
         """Read from the ledger.
 
         :param ledger: jobs in the store.
-        :param is_held: checks whether disks may hold a job that the store
+        :param may_be_on_disk: checks whether disks may hold a job that the store
             lacks.
         """
         self._ledger = ledger
-        self._may_be_on_disk = is_held
+        self._may_be_on_disk = may_be_on_disk
         self._views: dict[str, JobView] = {}
 
     def find(self, name: str) -> JobView:
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -247,7 +247,8 @@
         )
         wait_for(
             lambda: all(
-                len(app._holder.board.disks) > 1 for app in self.entries
+                len(app._disk_job_writer.board.disks) > 1
+                for app in self.entries
             ),
             'entries know the disks',
         )
--- a/tests/hosted/test_whole_path.py
+++ b/tests/hosted/test_whole_path.py
@@ -166,7 +166,7 @@
     site: HostedSite,
 ) -> None:
     site.start()
-    site.entries[0]._holder.board.disks.clear()
+    site.entries[0]._disk_job_writer.board.disks.clear()
     site.store.faults.is_down = True
     assert site.hand_in('j').status == 503
     site.store.faults.is_down = False
