--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -338,5 +338,5 @@
         )
         self._check_isolation()
         if routed.route.kind is RouteKind.batch:
-            return self._jobs.hand_in(routed)
+            return self._jobs.submit(routed)
         return self._online_handler.answer(routed)
--- a/src/wigeonpier/hosted/jobs.py
+++ b/src/wigeonpier/hosted/jobs.py
@@ -53,7 +53,7 @@
         self._reader = reader
         self._metrics = metrics
 
-    def hand_in(self, routed: RoutedRequest) -> Response:
+    def submit(self, routed: RoutedRequest) -> Response:
         """Accept a job; repeated submissions are accepted only once.
 
         :param routed: the caller's request with its route.
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -361,7 +361,7 @@
         raw = make_request(method, target, listed, body)
         return self.pool.call(self.addresses[entry], raw, TIMEOUT_SECONDS)
 
-    def hand_in(
+    def submit_job(
         self,
         job: str,
         items: int = 4,
--- a/tests/hosted/test_contact.py
+++ b/tests/hosted/test_contact.py
@@ -127,7 +127,7 @@
     _isolate_entry(site)
     started_at = time.monotonic()
     answer = site.call('POST', '/once/2', 'q2')
-    submitted = site.hand_in('j')
+    submitted = site.submit_job('j')
     assert (answer.status, submitted.status) == (503, 503)
     assert time.monotonic() - started_at < 0.3
     assert not any(replica.runs['q2'] for replica in site.replicas)
@@ -177,7 +177,7 @@
     site.start()
     _cut_store_from_entry(site)
     started_at = time.monotonic()
-    assert site.hand_in('j').status == 202
+    assert site.submit_job('j').status == 202
     assert time.monotonic() - started_at < 0.4
     assert len(site.wait_for_results('j', 4)) == 4
 
--- a/tests/hosted/test_crashing_items.py
+++ b/tests/hosted/test_crashing_items.py
@@ -36,7 +36,7 @@
         replica.restart_seconds = 0.4
         replica.lapse_seconds = 0.6
     bodies = {CRASHING_ITEM: DEADLY_MARK}
-    assert site.hand_in('j', ITEMS, bodies=bodies).status == 202
+    assert site.submit_job('j', ITEMS, bodies=bodies).status == 202
     results = site.wait_for_results('j', ITEMS - 1)
     assert {result['id'] for result in results} == {
         f'j{number}' for number in range(ITEMS) if number != CRASHING_ITEM
@@ -58,7 +58,7 @@
     site.start(replicas=1, event_seconds=0.03)
     site.replicas[0].restart_seconds = 0.4
     site.replicas[0].lapse_seconds = 0.6
-    site.hand_in('j', ITEMS, bodies={CRASHING_ITEM: DEADLY_MARK})
+    site.submit_job('j', ITEMS, bodies={CRASHING_ITEM: DEADLY_MARK})
     assert len(site.wait_for_results('j', ITEMS - 1)) == ITEMS - 1
     wait_for(
         lambda: count_crashes(site) == MAX_CRASHES,
--- a/tests/hosted/test_customers.py
+++ b/tests/hosted/test_customers.py
@@ -87,7 +87,7 @@
 
 
 def test_items_carry_the_customer_name_and_not_the_key(served) -> None:
-    submitted = served.hand_in(
+    submitted = served.submit_job(
         'j1',
         X_Key=KEY,
         item_headers={'X-Key': KEY, 'X-Tenant': 'second'},
@@ -100,7 +100,7 @@
 
 
 def test_a_job_is_accessible_with_any_key_of_its_customer(served) -> None:
-    served.hand_in('j1', X_Key=KEY)
+    served.submit_job('j1', X_Key=KEY)
     for key, status in (
         (SECOND_KEY, OK),
         (SECOND_CUSTOMER_KEY, NOT_FOUND),
@@ -126,9 +126,11 @@
 
 
 def test_customers_may_use_the_same_job_name(served) -> None:
-    assert served.hand_in('j1', 2, X_Key=KEY).status == ACCEPTED
-    assert served.hand_in('j1', 3, X_Key=SECOND_CUSTOMER_KEY).status == ACCEPTED
-    assert served.hand_in('j1', 2, X_Key=SECOND_KEY).status == ACCEPTED
+    assert served.submit_job('j1', 2, X_Key=KEY).status == ACCEPTED
+    assert (
+        served.submit_job('j1', 3, X_Key=SECOND_CUSTOMER_KEY).status == ACCEPTED
+    )
+    assert served.submit_job('j1', 2, X_Key=SECOND_KEY).status == ACCEPTED
     for key, total in ((KEY, 2), (SECOND_CUSTOMER_KEY, 3)):
         reply = served.call('GET', '/-/lots/j1?after=0', X_Key=key)
         assert msgspec.json.decode(reply.body)['total'] == total
@@ -142,13 +144,15 @@
     served.configure(routes=routes)
     for replica in served.replicas:
         replica.event_seconds = 5
-    assert served.hand_in('j1', 3, X_Key=KEY).status == ACCEPTED
-    assert served.hand_in('j2', 3, X_Key=SECOND_KEY).status == 429
-    assert served.hand_in('j3', 3, X_Key=SECOND_CUSTOMER_KEY).status == ACCEPTED
+    assert served.submit_job('j1', 3, X_Key=KEY).status == ACCEPTED
+    assert served.submit_job('j2', 3, X_Key=SECOND_KEY).status == 429
+    assert (
+        served.submit_job('j3', 3, X_Key=SECOND_CUSTOMER_KEY).status == ACCEPTED
+    )
 
 
 def test_a_job_continues_after_its_key_is_revoked(served) -> None:
-    served.hand_in('j1', X_Key=KEY)
+    served.submit_job('j1', X_Key=KEY)
     served.configure(
         tenants=[make_customer('first', SECOND_KEY), CUSTOMERS[1]],
     )
@@ -201,9 +205,9 @@
     for number in range(4):
         served.try_call('POST', '/ask/b', f'b{number}', b'{}', X_Key=KEY)
     served.store.faults.is_down = True
-    served.hand_in('j1', X_Key=KEY, item_headers={'X-Key': KEY})
+    served.submit_job('j1', X_Key=KEY, item_headers={'X-Key': KEY})
     served.store.faults.is_down = False
-    served.hand_in('j2', X_Key=KEY, item_headers={'X-Key': KEY})
+    served.submit_job('j2', X_Key=KEY, item_headers={'X-Key': KEY})
     wait_for(lambda: len(list_received(served)) >= 9, 'items run')
     written.write(str(capfd.readouterr()))
     for disk in served.disks:
--- a/tests/hosted/test_explained.py
+++ b/tests/hosted/test_explained.py
@@ -86,7 +86,7 @@
 def test_abandoned_item_shows_failed_runs(site, explain) -> None:
     for replica in site.replicas:
         replica.faults.fail = 9
-    site.hand_in('j3', 1)
+    site.submit_job('j3', 1)
     results = site.wait_for_results('j3', 1)
     assert results[0]['state'] == 'abandoned'
     lines = explain('j30')
--- a/tests/hosted/test_full_disk.py
+++ b/tests/hosted/test_full_disk.py
@@ -42,7 +42,7 @@
     site.start()
     _make_disks_full(monkeypatch, site, 0)
     site.store.faults.is_down = True
-    assert site.hand_in('j', 2).status == 202
+    assert site.submit_job('j', 2).status == 202
     site.store.faults.is_down = False
     wait_for(
         lambda: site.call('GET', '/-/lots/j?after=0').status == 200,
@@ -60,7 +60,7 @@
     # On a busy machine the answers may exceed the usual time-out.
     monkeypatch.setattr('wigeonpier.hosted.holder.DISK_TIMEOUT_SECONDS', 2.0)
     site.store.faults.is_down = True
-    reply = site.hand_in('j', 2)
+    reply = site.submit_job('j', 2)
     assert reply.status == 503
     assert all(disk._intake.is_empty for disk in site.disks)
 
@@ -79,7 +79,7 @@
 
     monkeypatch.setattr('wigeonpier.hosted.intake.replace_file', write_late)
     site.store.faults.is_down = True
-    reply = site.hand_in('j', 2)
+    reply = site.submit_job('j', 2)
     assert reply.status == 502
     assert b'"ran":"unknown"' in reply.body
 
@@ -91,7 +91,7 @@
     _make_disks_full(monkeypatch, site, 0, 1, 2)
     monkeypatch.undo()
     site.store.faults.is_down = True
-    assert site.hand_in('j', 2).status == 202
+    assert site.submit_job('j', 2).status == 202
 
 
 def test_a_partial_file_on_a_full_disk_is_removed(
--- a/tests/hosted/test_load.py
+++ b/tests/hosted/test_load.py
@@ -36,7 +36,7 @@
 def test_the_load_includes_requests_and_no_items(site: HostedSite) -> None:
     site.start(replicas=1, event_seconds=0.1)
     _wait_until_fed(site)
-    site.hand_in('j', 3)
+    site.submit_job('j', 3)
     wait_for(lambda: site.replicas[0].running == 3, 'items run')
     calls = [
         gevent.spawn(site.call, 'POST', '/ask/1', f'q{number}')
--- a/tests/hosted/test_reader.py
+++ b/tests/hosted/test_reader.py
@@ -32,7 +32,7 @@
 
 def test_readers_at_many_entries_share_one_store_read(site: HostedSite) -> None:
     site.start(entries=4)
-    site.hand_in('j', 2)
+    site.submit_job('j', 2)
     site.wait_for_results('j', 2)
     before = _count_range_calls(site)
     assert before
@@ -43,14 +43,14 @@
 
 def test_a_reader_waits_for_a_result(site: HostedSite) -> None:
     site.start(replicas=1, event_seconds=0.05)
-    site.hand_in('j', 1)
+    site.submit_job('j', 1)
     reply = site.call('GET', '/-/lots/j?after=0', X_Wait_Ms='1000')
     assert b'completed' in reply.body
 
 
 def test_results_are_read_if_no_disk_process_answers(site: HostedSite) -> None:
     site.start()
-    site.hand_in('j', 2)
+    site.submit_job('j', 2)
     site.wait_for_results('j', 2)
     for disk in site.disks:
         disk._server.stop()
@@ -66,7 +66,7 @@
 
 def test_a_body_costs_an_entry_one_stale_read(site: HostedSite) -> None:
     site.start()
-    site.hand_in('j', 3)
+    site.submit_job('j', 3)
     before = _count_range_calls(site)
     reply = site.call('GET', '/-/items/j?id=j1')
     assert (reply.status, reply.body) == (200, b'{}')
@@ -164,7 +164,7 @@
 
 def test_an_entry_that_has_the_result_makes_no_call(site: HostedSite) -> None:
     site.start()
-    site.hand_in('j', 1)
+    site.submit_job('j', 1)
     site.wait_for_results('j', 1)
     handler = site.entries[0]._jobs
     view = handler._views.find('j')
--- a/tests/hosted/test_replaced_upstream.py
+++ b/tests/hosted/test_replaced_upstream.py
@@ -46,7 +46,7 @@
     leave_stale_entry(site, replica)
     replica.name = 'current'
     replica.register(DATA_CENTRE)
-    assert site.hand_in('j', ITEMS).status == 202
+    assert site.submit_job('j', ITEMS).status == 202
     results = site.wait_for_results('j', ITEMS)
     assert {found['state'] for found in results} == {'completed'}
 
@@ -60,7 +60,7 @@
     leave_stale_entry(site, replica)
     # It answers, but the register does not know its id.
     replica.name = 'unlisted'
-    assert site.hand_in('j', ITEMS).status == 202
+    assert site.submit_job('j', ITEMS).status == 202
     results = site.wait_for_results('j', ITEMS)
     assert {found['state'] for found in results} == {'completed'}
 
@@ -70,7 +70,7 @@
     site.start(replicas=1)
     replica = site.replicas[0]
     replica.faults.turn_away = 1_000_000
-    assert site.hand_in('j', MANY_ITEMS).status == 202
+    assert site.submit_job('j', MANY_ITEMS).status == 202
     gevent.sleep(SECONDS)
     assert 1_000_000 - replica.faults.turn_away < MAX_REFUSALS
     replica.faults.turn_away = 0
@@ -83,7 +83,7 @@
     """It reports free slots, and answers 503 to all requests."""
     site.start(replicas=2)
     site.replicas[0].faults.turn_away = 1_000_000
-    assert site.hand_in('j', MANY_ITEMS).status == 202
+    assert site.submit_job('j', MANY_ITEMS).status == 202
     assert len(site.wait_for_results('j', MANY_ITEMS)) == MANY_ITEMS
 
 
@@ -93,6 +93,6 @@
     replica = site.replicas[0]
     replica.faults.turn_away = 1_000_000
     replica._life.running = replica.slots
-    assert site.hand_in('j', MANY_ITEMS).status == 202
+    assert site.submit_job('j', MANY_ITEMS).status == 202
     gevent.sleep(2 * SECONDS)
     assert len(site.list_members()) == 2
--- a/tests/hosted/test_reservations.py
+++ b/tests/hosted/test_reservations.py
@@ -46,7 +46,7 @@
     """The next tick of the item runner is 4 s away here."""
     site.start(replicas=1, slots=1, event_seconds=0.1)
     _wait_until_fed(site)
-    site.hand_in('j', 1)
+    site.submit_job('j', 1)
     wait_for(lambda: site.replicas[0].running == 1, 'the item runs')
     monkeypatch.setattr(runner, 'TICK_SECONDS', 4.0)
     gevent.sleep(0.1)
--- a/tests/hosted/test_whole_path.py
+++ b/tests/hosted/test_whole_path.py
@@ -114,7 +114,7 @@
 
 def test_job_runs_each_item_and_keeps_positions(site: HostedSite) -> None:
     site.start(entries=2)
-    assert site.hand_in('j', 7).status == 202
+    assert site.submit_job('j', 7).status == 202
     results = site.wait_for_results('j', 7)
     assert {found['id'] for found in results} == {f'j{n}' for n in range(7)}
     for found in results:
@@ -126,8 +126,8 @@
 
 def test_resent_job_is_accepted_once(site: HostedSite) -> None:
     site.start(entries=2)
-    assert site.hand_in('j').status == 202
-    assert site.hand_in('j', entry=1).status == 202
+    assert site.submit_job('j').status == 202
+    assert site.submit_job('j', entry=1).status == 202
     site.wait_for_results('j', 4)
     runs = sum(
         count for replica in site.replicas for count in replica.runs.values()
@@ -140,15 +140,15 @@
 ) -> None:
     site.start()
     site.store.faults.lost_writes = 1
-    assert site.hand_in('j').status == 202
+    assert site.submit_job('j').status == 202
     assert len(site.wait_for_results('j', 4)) == 4
 
 
 def test_job_is_accepted_while_store_is_down(site: HostedSite) -> None:
     site.start(entries=2)
     site.store.faults.is_down = True
-    assert site.hand_in('j').status == 202
-    assert site.hand_in('j', entry=1).status == 202
+    assert site.submit_job('j').status == 202
+    assert site.submit_job('j', entry=1).status == 202
     assert site.call('GET', '/-/lots/j?after=0').status == 503
     site.store.faults.is_down = False
     wait_for(
@@ -168,7 +168,7 @@
     site.start()
     site.entries[0]._disk_job_writer.board.disks.clear()
     site.store.faults.is_down = True
-    assert site.hand_in('j').status == 503
+    assert site.submit_job('j').status == 503
     site.store.faults.is_down = False
     assert site.call('GET', '/-/lots/j?after=0').status == 404
 
@@ -180,13 +180,13 @@
     for disk in site.disks[1:]:
         disk._intake.is_closed = True
     site.store.faults.is_down = True
-    assert site.hand_in('j').status == 502
+    assert site.submit_job('j').status == 502
 
 
 def test_disk_is_emptied_before_it_is_retired(site: HostedSite) -> None:
     site.start()
     site.store.faults.is_down = True
-    assert site.hand_in('j').status == 202
+    assert site.submit_job('j').status == 202
     assert not site.disks[0]._intake.is_empty
     site.store.faults.is_down = False
     site.store.put('op/retire/storage-0', {'durationS': 9})
@@ -200,7 +200,7 @@
 
 def test_body_is_returned_and_unknown_job_is_404(site: HostedSite) -> None:
     site.start()
-    site.hand_in('j')
+    site.submit_job('j')
     assert site.call('GET', '/-/items/j?id=j1').body == b'{}'
     assert site.call('GET', '/-/items/j?id=none').status == 404
     assert site.call('GET', '/-/lots/none?after=0').status == 404
@@ -208,7 +208,7 @@
 
 def test_cancelled_job_stops(site: HostedSite) -> None:
     site.start(event_seconds=0.3)
-    site.hand_in('j', 4)
+    site.submit_job('j', 4)
     wait_for(
         lambda: any(replica.running for replica in site.replicas),
         'items run',
@@ -226,7 +226,7 @@
     site.start()
     for replica in site.replicas:
         replica.faults.impossible.add('j0')
-    site.hand_in('j', 2)
+    site.submit_job('j', 2)
     results = site.wait_for_results('j', 2)
     states = {found['id']: found['state'] for found in results}
     assert states == {'j0': 'abandoned', 'j1': 'completed'}
@@ -238,7 +238,7 @@
 ) -> None:
     site.start(replicas=1)
     site.replicas[0].faults.fail = 9
-    site.hand_in('j', 1)
+    site.submit_job('j', 1)
     results = site.wait_for_results('j', 1)
     assert results[0]['state'] == 'abandoned'
     assert site.replicas[0].runs['j0'] == 3
@@ -246,7 +246,7 @@
 
 def test_items_of_lost_worker_run_at_other_upstream(site: HostedSite) -> None:
     site.start(event_seconds=0.2)
-    site.hand_in('j', 6)
+    site.submit_job('j', 6)
     wait_for(
         lambda: all(replica.running for replica in site.replicas),
         'items run at both',
@@ -262,19 +262,19 @@
     routes = [make_route_entry('batch_run', '/jobs/', maxCount=200)]
     site.store.put('op/config', make_configuration(2, routes=routes))
     gevent.sleep(0.1)
-    assert site.hand_in('j', 4).status == 202
-    assert site.hand_in('k', 4).status == 429
-    assert site.hand_in('j', 4).status == 202
+    assert site.submit_job('j', 4).status == 202
+    assert site.submit_job('k', 4).status == 429
+    assert site.submit_job('j', 4).status == 202
     site.wait_for_results('j', 4)
-    assert site.hand_in('k', 4).status == 202
+    assert site.submit_job('k', 4).status == 202
 
 
 def test_compacted_history_loses_no_results(site: HostedSite) -> None:
     site.start()
-    site.hand_in('j', 4)
+    site.submit_job('j', 4)
     site.store.compact()
     site.wait_for_results('j', 4)
-    site.hand_in('k', 4)
+    site.submit_job('k', 4)
     site.wait_for_results('k', 4)
 
 
@@ -320,7 +320,7 @@
 
 def test_only_old_jobs_are_removed(site: HostedSite) -> None:
     site.start()
-    site.hand_in('old', 4)
+    site.submit_job('old', 4)
     site.wait_for_results('old', 4)
     janitor = site.disks[0]._janitor
     # A VM whose wall clock was ahead removed each job that it read.
@@ -342,7 +342,7 @@
     """Items never change, so that a stale read that has them is enough."""
     site.start()
     site.store.keep_old()
-    assert site.hand_in('j').status == 202
+    assert site.submit_job('j').status == 202
     assert site.call('GET', '/-/items/j?id=j1').body == b'{}'
     site.wait_for_results('j', 4)
 
@@ -361,7 +361,7 @@
     site.replicas[0].is_leaving = True
     site.replicas[0].register(DATA_CENTRE)
     wait_for(lambda: len(site.list_members()) == 1, 'the first one left')
-    assert site.hand_in('j').status == 202
+    assert site.submit_job('j').status == 202
     site.store.keep_old(without='wigeonpier/hosted/board/members/')
     gevent.sleep(0.5)
     board = site.disks[0]._dealer._ledger.read_board().unwrap()
