--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -163,7 +163,7 @@
         )
         self._job_calls = (
             (JOB_PATTERN, 'GET', self._jobs.read),
-            (JOB_PATTERN, 'DELETE', self._jobs.end),
+            (JOB_PATTERN, 'DELETE', self._jobs.cancel),
             (ITEM_PATTERN, 'GET', self._jobs.fetch_body),
         )
         self._callers = Server(*split_address(settings.callers), self._answer)
--- a/src/wigeonpier/hosted/jobs.py
+++ b/src/wigeonpier/hosted/jobs.py
@@ -112,7 +112,7 @@
             )
         return Response(HTTPStatus.OK, body, OCTET_STREAM_TYPE)
 
-    def end(self, request: Request, name: str) -> Response:
+    def cancel(self, request: Request, name: str) -> Response:
         """Cancel a job; results listed so far stay readable.
 
         :param request: the caller's request.
