--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -30,16 +30,16 @@
 
 # A member whose lease expired during a store outage, or that was restarted
 # immediately, rejoins within this time.
-RETURN_SECONDS = 1.6
+REJOIN_SECONDS = 1.6
 # Spreads the attempts of several instances so that one of them does the work.
 MAX_JITTER_SECONDS = 0.5
 # Interval for retrying items that had no new owner or were not reassigned.
-SWEEP_SECONDS = 4.0
+SCAN_INTERVAL_SECONDS = 4.0
 # Calls to the store are billed; a scan is needed only while jobs are open.
 RETRY_SECONDS = 0.4
 
 
-class Dealer:
+class ItemReassigner:
     """Watches the members and reassigns the items of lost ones."""
 
     def __init__(
@@ -67,19 +67,19 @@
             if UNASSIGNED not in self._pending:
                 self._pending.add(UNASSIGNED)
                 gevent.spawn_later(
-                    RETURN_SECONDS, self._reassign_items, UNASSIGNED
+                    REJOIN_SECONDS, self._reassign_items, UNASSIGNED
                 )
             return
         if name not in self._pending:
             self._pending.add(name)
             jitter = self._rng.uniform(0, MAX_JITTER_SECONDS)
             gevent.spawn_later(
-                RETURN_SECONDS + jitter, self._reassign_items, name
+                REJOIN_SECONDS + jitter, self._reassign_items, name
             )
 
     def _scan(self) -> None:
         """Find items of lost owners whose removal was not seen."""
-        gevent.sleep(SWEEP_SECONDS * self._rng.uniform(1, 2))
+        gevent.sleep(SCAN_INTERVAL_SECONDS * self._rng.uniform(1, 2))
         if not self._view.is_complete or self._store_health.is_unreachable:
             return
         # A stale read is enough here: membership is checked again before any
@@ -92,7 +92,7 @@
         }
         for owner in owners - set(read.ok_value.members) - self._pending:
             self._pending.add(owner)
-            gevent.spawn_later(RETURN_SECONDS, self._reassign_items, owner)
+            gevent.spawn_later(REJOIN_SECONDS, self._reassign_items, owner)
 
     def _reassign_items(self, lost: str) -> None:
         while not self._try_reassign_items(lost):
--- a/src/wigeonpier/hosted/storage.py
+++ b/src/wigeonpier/hosted/storage.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from wigeonpier.hosted.dealer import Dealer
+from wigeonpier.hosted.dealer import ItemReassigner
 from wigeonpier.hosted.following import FollowedJobs
 from wigeonpier.hosted.intake import Intake
 from wigeonpier.hosted.janitor import Janitor
@@ -42,7 +42,7 @@
             context.store,
             context.store_health.wait,
         )
-        self._dealer = Dealer(
+        self._reassigner = ItemReassigner(
             ledger,
             context.view,
             context.store_health,
@@ -93,7 +93,7 @@
         self._intake.start()
         self._quarantine.start()
         self._retire.start()
-        self._dealer.start()
+        self._reassigner.start()
         self._janitor.start()
         return self._server.address
 
--- a/tests/hosted/test_whole_path.py
+++ b/tests/hosted/test_whole_path.py
@@ -352,8 +352,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The members are read again before items move."""
-    monkeypatch.setattr(dealer, 'SWEEP_SECONDS', 0.01)
-    monkeypatch.setattr(dealer, 'RETURN_SECONDS', 0)
+    monkeypatch.setattr(dealer, 'SCAN_INTERVAL_SECONDS', 0.01)
+    monkeypatch.setattr(dealer, 'REJOIN_SECONDS', 0)
     site.start(replicas=1)
     site.store.keep_old()
     site.add_replica('i-1', event_seconds=0.3)
@@ -364,6 +364,6 @@
     assert site.submit_job('j').status == 202
     site.store.keep_old(without='wigeonpier/hosted/board/members/')
     gevent.sleep(0.5)
-    board = site.disks[0]._dealer._ledger.read_board().unwrap()
+    board = site.disks[0]._reassigner._ledger.read_board().unwrap()
     assert set(board.jobs['j'].owners) == {'side-i-1'}
     site.wait_for_results('j', 4)
