--- a/src/wigeonpier/hosted/janitor.py
+++ b/src/wigeonpier/hosted/janitor.py
@@ -18,7 +18,7 @@
     from wigeonpier.hosted.ledger import JobLedger
 
 # One call per minute and process with a disk.
-SWEEP_SECONDS = 60.0
+SCAN_INTERVAL_SECONDS = 60.0
 # A job may reach the store late.
 RETENTION_FACTOR = 3.0
 
@@ -44,7 +44,7 @@
         """Start the periodic scans."""
         spawn_loop('janitor', self._step)
 
-    def sweep(self, now: float) -> None:
+    def scan(self, now: float) -> None:
         """Remove the jobs that are too old.
 
         :param now: seconds of the monotonic clock.
@@ -66,5 +66,5 @@
                 )
 
     def _step(self) -> None:
-        gevent.sleep(SWEEP_SECONDS * self._rng.uniform(1, 2))
-        self.sweep(time.monotonic())
+        gevent.sleep(SCAN_INTERVAL_SECONDS * self._rng.uniform(1, 2))
+        self.scan(time.monotonic())
--- a/tests/hosted/test_whole_path.py
+++ b/tests/hosted/test_whole_path.py
@@ -325,10 +325,10 @@
     janitor = site.disks[0]._janitor
     # A VM whose wall clock was ahead removed each job that it read.
     ahead = 2 * time.time()
-    janitor.sweep(ahead)
-    janitor.sweep(ahead + 60)
+    janitor.scan(ahead)
+    janitor.scan(ahead + 60)
     assert site.call('GET', '/-/lots/old?after=0').status == 200
-    janitor.sweep(ahead + 3600)
+    janitor.scan(ahead + 3600)
     assert not [
         key
         for key in site.store.list_keys('wigeonpier/hosted/')
