--- a/src/wigeonpier/hosted/loadfeed.py
+++ b/src/wigeonpier/hosted/loadfeed.py
@@ -91,7 +91,7 @@
             )
         total = report.running + report.waiting
         return OnlineLoad(
-            max(0, total - self._runner.count_yielding()),
+            max(0, total - self._runner.count_preemptible()),
             takes_work=not report.is_leaving,
             incarnation=report.incarnation,
             has_store=not self._store_health.is_unreachable,
--- a/src/wigeonpier/hosted/reservations.py
+++ b/src/wigeonpier/hosted/reservations.py
@@ -140,7 +140,7 @@
 
     def _grant(self, trial: TrialRequest | None, now: float) -> None:
         self._slots.add(now)
-        self._runner.make_room()
+        self._runner.update_pace()
         if trial is not None:
             isolation = IsolationLevel(trial.company)
             self._trials.add(trial.fingerprint, isolation, now)
--- a/src/wigeonpier/hosted/runner.py
+++ b/src/wigeonpier/hosted/runner.py
@@ -81,7 +81,7 @@
         self.work[work.key] = work
         return True
 
-    def count_yielding(self) -> int:
+    def count_preemptible(self) -> int:
         """Count the running items that are paused when requests need slots.
 
         :returns: number of items.
@@ -97,7 +97,7 @@
             return len(running)
         return len(running) - pacing.count_held_slots(upstream, running)
 
-    def make_room(self) -> None:
+    def update_pace(self) -> None:
         """Start items in free slots, and pause items for online requests.
 
         It is also called when a slot is reserved: if that waited for the next
@@ -133,7 +133,7 @@
             return
         self._upstream.poll()
         self._abandon_expired()
-        self.make_room()
+        self.update_pace()
         gevent.sleep(TICK_SECONDS)
 
     def _apply_pace(self) -> None:
