--- a/src/wigeonpier/hosted/runner.py
+++ b/src/wigeonpier/hosted/runner.py
@@ -29,8 +29,8 @@
     Key = tuple[str, int]
 
 # An online request that waits for a slot waits at most until the next step.
-TICK_SECONDS = 0.05
-IDLE_TICK_SECONDS = 0.25
+STEP_SECONDS = 0.05
+IDLE_STEP_SECONDS = 0.25
 RETRY_SECONDS = 0.25
 FAILED_RETRY_SECONDS = 0.5
 
@@ -127,14 +127,14 @@
 
     def _step(self) -> None:
         if not self.work:
-            gevent.sleep(IDLE_TICK_SECONDS)
+            gevent.sleep(IDLE_STEP_SECONDS)
             if not self._upstream.is_usable or not self._upstream.report:
                 self._upstream.poll()
             return
         self._upstream.poll()
         self._abandon_expired()
         self.update_pace()
-        gevent.sleep(TICK_SECONDS)
+        gevent.sleep(STEP_SECONDS)
 
     def _apply_pace(self) -> None:
         upstream = self._make_upstream_view()
--- a/tests/hosted/test_reservations.py
+++ b/tests/hosted/test_reservations.py
@@ -48,7 +48,7 @@
     _wait_until_fed(site)
     site.submit_job('j', 1)
     wait_for(lambda: site.replicas[0].running == 1, 'the item runs')
-    monkeypatch.setattr(runner, 'TICK_SECONDS', 4.0)
+    monkeypatch.setattr(runner, 'STEP_SECONDS', 4.0)
     gevent.sleep(0.1)
     started_at = time.monotonic()
     assert site.call('POST', '/once/1', 'q1').status == 200
