--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -57,7 +57,7 @@
     trials: TrialPlacer
     gate: PriorityGate = field(default_factory=PriorityGate)
 
-    def bind(self, request: OnlineRequest) -> UpstreamState | None:
+    def choose_upstream(self, request: OnlineRequest) -> UpstreamState | None:
         """Choose an upstream with a free slot; hold the request until one has.
 
         When the hold times out, or no worker answers, the least busy upstream
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -139,7 +139,7 @@
         obstacle = self.binder.find_obstacle(request)
         if obstacle is not None:
             return Err(obstacle)
-        upstream = request.next_upstream or self.binder.bind(request)
+        upstream = request.next_upstream or self.binder.choose_upstream(request)
         request.next_upstream = None
         obstacle = self.binder.find_obstacle(request)
         if obstacle is not None:
