--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -76,7 +76,7 @@
             stack.callback(self.gate.remove, request.priority)
             return self._wait_for_slot(request)
 
-    def find_obstacle(self, request: OnlineRequest) -> SendFailure | None:
+    def find_send_failure(self, request: OnlineRequest) -> SendFailure | None:
         """Find the reason why a request must not be sent once more.
 
         :param request: the request.
@@ -125,7 +125,7 @@
             if chosen is not None:
                 return chosen
             is_expired = time.monotonic() >= deadline
-            if is_expired or self.find_obstacle(request):
+            if is_expired or self.find_send_failure(request):
                 return self._choose_after_wait(request)
             if not self._is_any_expected(request):
                 return None
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -136,14 +136,14 @@
 
         :returns: the upstream, or why the request is not sent again.
         """
-        obstacle = self.binder.find_obstacle(request)
-        if obstacle is not None:
-            return Err(obstacle)
+        failure = self.binder.find_send_failure(request)
+        if failure is not None:
+            return Err(failure)
         upstream = request.next_upstream or self.binder.choose_upstream(request)
         request.next_upstream = None
-        obstacle = self.binder.find_obstacle(request)
-        if obstacle is not None:
-            return Err(obstacle)
+        failure = self.binder.find_send_failure(request)
+        if failure is not None:
+            return Err(failure)
         return Ok(upstream) if upstream else Err(SendFailure.no_upstream)
 
     def _handle_failure(
