--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -100,7 +100,7 @@
         """
         return self.suspects.get_run_mode(request) is RunMode.refused
 
-    def reserve_at(
+    def reserve_slot(
         self,
         request: OnlineRequest,
         upstream: UpstreamState,
@@ -198,7 +198,7 @@
             # Without a load feed there is no worker to reserve a slot at.
             if candidate.load_fresh_until <= time.monotonic():
                 return candidate
-            reservation_outcome = self.reserve_at(request, candidate)
+            reservation_outcome = self.reserve_slot(request, candidate)
             if reservation_outcome is Answer.granted:
                 return candidate
             has_refusal = has_refusal or reservation_outcome is Answer.refused
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -244,7 +244,7 @@
             now,
         )
         if decision is waiting.QueueDecision.move:
-            if self.binder.reserve_at(request, other) is Answer.refused:
+            if self.binder.reserve_slot(request, other) is Answer.refused:
                 return
             request.next_upstream = other
             raise QueueLeftError(SendFailure.queued)
@@ -276,7 +276,7 @@
             other = self.binder.chooser.choose(request)
             if other is None or not waiting.may_resend(other, time.monotonic()):
                 continue
-            if self.binder.reserve_at(request, other) is Answer.granted:
+            if self.binder.reserve_slot(request, other) is Answer.granted:
                 request.next_upstream = other
                 return
         if request.is_abandoned:
