--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -10,7 +10,7 @@
 import gevent
 
 from wigeonpier.hosted.failures import CallerGoneError, SendFailure
-from wigeonpier.hosted.reserver import Answer
+from wigeonpier.hosted.reserver import ReservationOutcome
 from wigeonpier.policy import reservation
 from wigeonpier.policy.prioritygate import PriorityGate
 from wigeonpier.policy.suspicion import RunMode
@@ -104,7 +104,7 @@
         self,
         request: OnlineRequest,
         upstream: UpstreamState,
-    ) -> Answer:
+    ) -> ReservationOutcome:
         """Request a slot from the worker of an upstream.
 
         :param request: the request that needs the slot.
@@ -199,9 +199,11 @@
             if candidate.load_fresh_until <= time.monotonic():
                 return candidate
             reservation_outcome = self.reserve_slot(request, candidate)
-            if reservation_outcome is Answer.granted:
+            if reservation_outcome is ReservationOutcome.granted:
                 return candidate
-            has_refusal = has_refusal or reservation_outcome is Answer.refused
+            has_refusal = (
+                has_refusal or reservation_outcome is ReservationOutcome.refused
+            )
             tried.add(candidate.name)
         return None if has_refusal else self.chooser.choose(request)
 
--- a/src/wigeonpier/hosted/reserver.py
+++ b/src/wigeonpier/hosted/reserver.py
@@ -23,7 +23,7 @@
     from wigeonpier.web.pool import ConnectionPool
 
 
-class Answer(StrEnum):
+class ReservationOutcome(StrEnum):
     """Outcome of a reservation request; the values are metric labels."""
 
     granted = 'granted'
@@ -62,7 +62,7 @@
         *,
         is_late: bool,
         trial: TrialRequest | None = None,
-    ) -> Answer:
+    ) -> ReservationOutcome:
         """Request a slot.
 
         :param upstream: the upstream; its load is updated.  If its worker does
@@ -82,17 +82,19 @@
         if isinstance(called, Err):
             self._limiter.restore_unreported(admitted)
             upstream.takes_work = False
-            return self._count(Answer.unanswered)
+            return self._count(ReservationOutcome.unanswered)
         if not called.ok_value.is_good:
             # The worker does not know its upstream yet, or does not support
             # reservations.
-            return self._count(Answer.unanswered)
+            return self._count(ReservationOutcome.unanswered)
         reservation = called.ok_value.decode(Reservation)
         record_load(upstream, reservation.load, time.monotonic())
         if reservation.is_granted:
-            return self._count(Answer.granted)
-        return self._count(Answer(reservation.trial or Answer.refused))
+            return self._count(ReservationOutcome.granted)
+        return self._count(
+            ReservationOutcome(reservation.trial or ReservationOutcome.refused)
+        )
 
-    def _count(self, answer: Answer) -> Answer:
-        self._metrics.count('reservations_total', outcome=answer.value)
-        return answer
+    def _count(self, outcome: ReservationOutcome) -> ReservationOutcome:
+        self._metrics.count('reservations_total', outcome=outcome.value)
+        return outcome
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -17,7 +17,7 @@
     SendFailure,
     classify_disconnect,
 )
-from wigeonpier.hosted.reserver import Answer
+from wigeonpier.hosted.reserver import ReservationOutcome
 from wigeonpier.platform import ingress, register
 from wigeonpier.policy import waiting
 from wigeonpier.policy.route import record_outcome
@@ -244,7 +244,10 @@
             now,
         )
         if decision is waiting.QueueDecision.move:
-            if self.binder.reserve_slot(request, other) is Answer.refused:
+            if (
+                self.binder.reserve_slot(request, other)
+                is ReservationOutcome.refused
+            ):
                 return
             request.next_upstream = other
             raise QueueLeftError(SendFailure.queued)
@@ -276,7 +279,10 @@
             other = self.binder.chooser.choose(request)
             if other is None or not waiting.may_resend(other, time.monotonic()):
                 continue
-            if self.binder.reserve_slot(request, other) is Answer.granted:
+            if (
+                self.binder.reserve_slot(request, other)
+                is ReservationOutcome.granted
+            ):
                 request.next_upstream = other
                 return
         if request.is_abandoned:
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from wigeonpier.hosted.news import TrialRequest
-from wigeonpier.hosted.reserver import Answer
+from wigeonpier.hosted.reserver import ReservationOutcome
 from wigeonpier.policy.ranking import rank_by_key
 from wigeonpier.policy.reservation import (
     MAX_RESERVATION_ATTEMPTS,
@@ -113,7 +113,7 @@
         trial = TrialRequest(request.fingerprint, isolation.value)
         unanswered = None
         for upstream in upstreams:
-            answer = self.reserver.ask(
+            outcome = self.reserver.ask(
                 upstream,
                 max(
                     request.route.objective * RESERVATION_TIMEOUT_SHARE,
@@ -123,12 +123,12 @@
                 trial=trial,
             )
             request.reservation_attempts += 1
-            if answer is Answer.granted:
+            if outcome is ReservationOutcome.granted:
                 request.isolation = isolation.value
                 return upstream
-            if answer is Answer.running:
+            if outcome is ReservationOutcome.running:
                 return None
-            if answer is Answer.unanswered:
+            if outcome is ReservationOutcome.unanswered:
                 unanswered = unanswered or upstream
         # Without a worker that knows the upstream's current start, other
         # suspected requests may run there too, and a run proves nothing.
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -21,7 +21,7 @@
 from wigeonpier.hosted.common import DaemonContext
 from wigeonpier.hosted.entry import EntryApp
 from wigeonpier.hosted.question import OnlineRequest
-from wigeonpier.hosted.reserver import Answer
+from wigeonpier.hosted.reserver import ReservationOutcome
 from wigeonpier.hosted.sender import (
     RequestSender,
 )
@@ -180,7 +180,9 @@
     )
     settings = make_settings('edge-0', '127.0.0.1:1')
     chooser = UpstreamChooser(settings, replicas, rng)
-    reserver = SimpleNamespace(ask=lambda *_given, **_named: Answer.granted)
+    reserver = SimpleNamespace(
+        ask=lambda *_given, **_named: ReservationOutcome.granted
+    )
     suspicions = Suspicions()
     suspects = SuspectTracker(
         suspicions,
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -15,7 +15,7 @@
     QueueLeftError,
     SendFailure,
 )
-from wigeonpier.hosted.reserver import Answer
+from wigeonpier.hosted.reserver import ReservationOutcome
 from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.route import record_load
 
@@ -67,9 +67,9 @@
     """It was sent with a negative time-out."""
     sender = build_sender(0)
 
-    def ask(*_given: object, **_named: object) -> Answer:
+    def ask(*_given: object, **_named: object) -> ReservationOutcome:
         time.sleep(0.02)
-        return Answer.granted
+        return ReservationOutcome.granted
 
     sender.binder.reserver = SimpleNamespace(ask=ask)
     request = make_online_request()
