--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -112,7 +112,7 @@
         :returns: whether a slot is reserved.
         """
         request.reservation_attempts += 1
-        return self.reserver.ask(
+        return self.reserver.reserve(
             upstream,
             request.route.objective * reservation.RESERVATION_TIMEOUT_SHARE,
             is_late=reservation.is_late(self._measure_waited_share(request)),
--- a/src/wigeonpier/hosted/reserver.py
+++ b/src/wigeonpier/hosted/reserver.py
@@ -55,7 +55,7 @@
         self._pool = pool
         self._metrics = metrics
 
-    def ask(
+    def reserve(
         self,
         upstream: UpstreamState,
         timeout: float,
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -113,7 +113,7 @@
         trial = TrialRequest(request.fingerprint, isolation.value)
         unanswered = None
         for upstream in upstreams:
-            outcome = self.reserver.ask(
+            outcome = self.reserver.reserve(
                 upstream,
                 max(
                     request.route.objective * RESERVATION_TIMEOUT_SHARE,
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -181,7 +181,7 @@
     settings = make_settings('edge-0', '127.0.0.1:1')
     chooser = UpstreamChooser(settings, replicas, rng)
     reserver = SimpleNamespace(
-        ask=lambda *_given, **_named: ReservationOutcome.granted
+        reserve=lambda *_given, **_named: ReservationOutcome.granted
     )
     suspicions = Suspicions()
     suspects = SuspectTracker(
--- a/tests/hosted/test_sender.py
+++ b/tests/hosted/test_sender.py
@@ -67,11 +67,11 @@
     """It was sent with a negative time-out."""
     sender = build_sender(0)
 
-    def ask(*_given: object, **_named: object) -> ReservationOutcome:
+    def reserve(*_given: object, **_named: object) -> ReservationOutcome:
         time.sleep(0.02)
         return ReservationOutcome.granted
 
-    sender.binder.reserver = SimpleNamespace(ask=ask)
+    sender.binder.reserver = SimpleNamespace(reserve=reserve)
     request = make_online_request()
     request.deadline = time.monotonic() + 0.01
     assert sender.send(request) == Err(SendFailure.no_time)
