--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -87,7 +87,7 @@
         # It would crash the next upstream as well: two attempts of one caller,
         # at two entries, crashed four upstreams within 0.43 s.
         if self.is_refused(request):
-            return SendFailure.condemned
+            return SendFailure.crashes_upstreams
         return (
             SendFailure.cut_off if self.isolation_detector.is_isolated else None
         )
--- a/src/wigeonpier/hosted/failures.py
+++ b/src/wigeonpier/hosted/failures.py
@@ -27,7 +27,7 @@
     silent = 'silent'
     queued = 'queued while another upstream had room'
     late = 'late in a queue, and gave way'
-    condemned = 'upstreams end when they run it'
+    crashes_upstreams = 'upstreams end when they run it'
 
 
 class QueueLeftError(Exception):
--- a/src/wigeonpier/hosted/questions.py
+++ b/src/wigeonpier/hosted/questions.py
@@ -216,7 +216,7 @@
         )
 
     def _refuse(self, request: OnlineRequest, failure: SendFailure) -> Refusal:
-        if failure is SendFailure.condemned:
+        if failure is SendFailure.crashes_upstreams:
             self._sender.binder.suspects.record_refusal(request)
         return _make_refusal(request, failure)
 
@@ -268,7 +268,7 @@
 
     It states that the request did not run only where that is certain.
     """
-    if failure is SendFailure.condemned:
+    if failure is SendFailure.crashes_upstreams:
         return Refusal(
             ErrorKind.ends_upstreams,
             failure.value,
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -75,7 +75,7 @@
                 break
             self._handle_failure(request, chosen.ok_value, outcome.err_value)
         if isinstance(outcome, Err) and self.binder.is_refused(request):
-            return Err(SendFailure.condemned)
+            return Err(SendFailure.crashes_upstreams)
         return outcome
 
     def record_failure(
