--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -157,7 +157,7 @@
         self, request: OnlineRequest
     ) -> UpstreamState | None:
         if self._is_suspected(request):
-            upstream = self.trials.find_late(request)
+            upstream = self.trials.reserve_late(request)
             if upstream is not None:
                 return upstream
         return self.chooser.choose(request)
@@ -174,7 +174,7 @@
         run_mode = self.suspects.get_run_mode(request)
         if run_mode is RunMode.free:
             return self._reserve(request)
-        return self.trials.find_place(request, run_mode)
+        return self.trials.reserve(request, run_mode)
 
     def _is_any_expected(self, request: OnlineRequest) -> bool:
         """Check whether an upstream is known, or may return after a crash."""
--- a/src/wigeonpier/hosted/trials.py
+++ b/src/wigeonpier/hosted/trials.py
@@ -41,7 +41,7 @@
     reserver: SlotReserver
     suspects: SuspectTracker
 
-    def find_place(
+    def reserve(
         self,
         request: OnlineRequest,
         run_mode: RunMode,
@@ -59,7 +59,7 @@
             IsolationLevel.admits_later,
         ) or self._find_shared(request, IsolationLevel.shared)
 
-    def find_late(self, request: OnlineRequest) -> UpstreamState | None:
+    def reserve_late(self, request: OnlineRequest) -> UpstreamState | None:
         """Reserve a slot for a suspected request that can wait no longer.
 
         :param request: the request; its isolation is set.
