--- a/src/wigeonpier/hosted/binder.py
+++ b/src/wigeonpier/hosted/binder.py
@@ -40,7 +40,7 @@
 
     :param replicas: upstreams that may be routed to.
     :param chooser: chooses among them.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     :param isolation_detector: whether any upstream can be reached.
     :param reserver: reserves slots at the workers of the upstreams.
     :param suspects: tracks requests under which upstreams have crashed.
@@ -50,7 +50,7 @@
 
     replicas: ReplicaRegister
     chooser: UpstreamChooser
-    draw: random.Random
+    rng: random.Random
     isolation_detector: IsolationDetector
     reserver: SlotReserver
     suspects: SuspectTracker
@@ -132,7 +132,7 @@
             pause = reservation.compute_round_pause(
                 self._measure_waited_share(request)
             )
-            gevent.sleep(pause * self.draw.uniform(*PAUSE_JITTER))
+            gevent.sleep(pause * self.rng.uniform(*PAUSE_JITTER))
             if request.is_abandoned:
                 raise CallerGoneError('the caller has left')
 
--- a/src/wigeonpier/hosted/common.py
+++ b/src/wigeonpier/hosted/common.py
@@ -39,13 +39,13 @@
     :param pool: connections to other processes.
     :param store: the key-value service.
     :param store_health: tracks whether the store answers.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     """
 
     settings: HostSettings
     metrics: Metrics = field(default_factory=Metrics)
     pool: ConnectionPool = field(default_factory=ConnectionPool)
-    draw: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
     store: KeyValueStore = field(init=False)
     store_health: StoreHealth = field(init=False)
 
@@ -60,7 +60,7 @@
         self.store_health = StoreHealth(
             self.store,
             plan_outage(self.settings.bounds),
-            self.draw,
+            self.rng,
         )
         self.store_health.start()
 
@@ -80,7 +80,7 @@
             self.store,
             prefix,
             on_change,
-            self.draw,
+            self.rng,
             wait=self.store_health.wait,
         )
 
--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -82,7 +82,7 @@
             context.pool.forget,
         )
         self._isolation_detector = IsolationDetector(context.store_health)
-        self._relays = Relays(split_address(settings.peers)[1], context.draw)
+        self._relays = Relays(split_address(settings.peers)[1], context.rng)
         context.store_health.find_relay = self._relays.find
         self._freshness = ConfigurationFreshness(
             self._configuration,
@@ -92,7 +92,7 @@
                 self._configuration,
                 context.pool,
                 self._relays.list_addresses,
-                context.draw,
+                context.rng,
             ).confirm,
         )
         self._suspicions = Suspicions()
@@ -106,19 +106,19 @@
             self._replicas,
             context.pool,
             split_address(settings.peers)[1],
-            context.draw,
+            context.rng,
         )
         self._limiter = CustomerLimiter(
             settings.bounds,
             context.pool,
             self._list_counters,
-            context.draw,
+            context.rng,
         )
         self._loads = LoadFollower(
             settings,
             self._replicas,
             context.pool,
-            context.draw,
+            context.rng,
             FeedListeners(
                 self._record_load,
                 self._receive_update,
@@ -130,7 +130,7 @@
             self._configuration,
             self._make_sender(),
             context.metrics,
-            context.draw,
+            context.rng,
             self._limiter,
         )
         ledger = JobLedger(context.store)
@@ -156,7 +156,7 @@
                 views,
                 self._disk_job_writer,
                 self._isolation_detector,
-                context.draw,
+                context.rng,
             ),
             JobReader(self._disk_job_writer, context.pool, context.metrics),
             context.metrics,
@@ -234,9 +234,7 @@
 
     def _make_sender(self) -> RequestSender:
         context = self._context
-        chooser = UpstreamChooser(
-            context.settings, self._replicas, context.draw
-        )
+        chooser = UpstreamChooser(context.settings, self._replicas, context.rng)
         reserver = SlotReserver(
             split_address(context.settings.peers)[1],
             context.pool,
@@ -255,7 +253,7 @@
         binder = SlotBinder(
             self._replicas,
             chooser,
-            context.draw,
+            context.rng,
             self._isolation_detector,
             reserver,
             suspects,
--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -274,7 +274,7 @@
         deadline = time.monotonic() + limit
         while time.monotonic() < deadline and not request.is_abandoned:
             gevent.sleep(
-                waiting.CHECK_INTERVAL_SECONDS * self.binder.draw.uniform(1, 2)
+                waiting.CHECK_INTERVAL_SECONDS * self.binder.rng.uniform(1, 2)
             )
             other = self.binder.chooser.choose(request)
             if other is None or not waiting.may_resend(other, time.monotonic()):
--- a/src/wigeonpier/hosted/storage.py
+++ b/src/wigeonpier/hosted/storage.py
@@ -36,7 +36,7 @@
         settings = context.settings
         ledger = JobLedger(context.store)
         self._context = context
-        self._intake = Intake(settings.data_folder, ledger, context.draw)
+        self._intake = Intake(settings.data_folder, ledger, context.rng)
         self._quarantine = QuarantineReplica(
             settings.data_folder,
             context.store,
@@ -46,12 +46,12 @@
             ledger,
             context.view,
             context.store_health,
-            context.draw,
+            context.rng,
         )
         self._janitor = Janitor(
             ledger,
             settings.bounds.job_readable,
-            context.draw,
+            context.rng,
         )
         self._disk = Membership(
             context.store,
