--- a/tests/hosted/callers.py
+++ b/tests/hosted/callers.py
@@ -20,7 +20,7 @@
 BROKEN = Reply(0, b'')
 # A caller does not retry after these.
 FINAL = frozenset((OK, 400, 401, 404, 413, 431))
-COME_BACK_SECONDS = 0.2
+RETRY_SECONDS = 0.2
 PAUSE_SECONDS = 0.5
 REQUEST_INTERVAL_SECONDS = 0.05
 ATTEMPTS = 2
@@ -41,12 +41,12 @@
         deadline = time.monotonic() + seconds
         while time.monotonic() < deadline:
             for _attempt in range(ATTEMPTS):
-                if self.ask().status in FINAL:
+                if self.send().status in FINAL:
                     break
-                gevent.sleep(COME_BACK_SECONDS)
+                gevent.sleep(RETRY_SECONDS)
             gevent.sleep(PAUSE_SECONDS)
 
-    def ask(self) -> Reply:
+    def send(self) -> Reply:
         """Send the request once, under a new id."""
         number = len(self.replies)
         reply = self.site.try_call(
@@ -63,9 +63,9 @@
         """Send the request until a final answer arrives."""
         deadline = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < deadline:
-            if self.ask().status in FINAL:
+            if self.send().status in FINAL:
                 return
-            gevent.sleep(COME_BACK_SECONDS)
+            gevent.sleep(RETRY_SECONDS)
         raise AssertionError(f'never refused: {self.list_statuses()}')
 
     def list_statuses(self) -> list[int]:
@@ -78,10 +78,10 @@
     """Send other requests meanwhile; each is retried once."""
 
     site: HostedSite = field(repr=False)
-    whole: int = 0
+    succeeded: int = 0
     failed: list[tuple[str, list[int]]] = field(default_factory=list)
 
-    def ask_for(self, seconds: float) -> None:
+    def send_for(self, seconds: float) -> None:
         """Send requests until the time is up, and wait for the last answers."""
         deadline = time.monotonic() + seconds
         requests = []
@@ -104,11 +104,11 @@
             statuses.append(reply.status)
             expected = self.site.replicas[0].make_output(identity).split()
             if reply.status == OK and read_texts(reply.body) == expected:
-                self.whole += 1
+                self.succeeded += 1
                 return
             if reply.status in FINAL:
                 break
-            gevent.sleep(COME_BACK_SECONDS)
+            gevent.sleep(RETRY_SECONDS)
         self.failed.append((f'o{number}', statuses))
 
 
--- a/tests/hosted/test_crashing_requests.py
+++ b/tests/hosted/test_crashing_requests.py
@@ -14,8 +14,8 @@
 
 from tests.hosted.builders import make_route_entry, wait_for
 from tests.hosted.callers import (
-    COME_BACK_SECONDS,
     DEADLY_BODY,
+    RETRY_SECONDS,
     RepeatingCaller,
 )
 from wigeonpier.cli.main import main
@@ -58,7 +58,7 @@
     gevent.sleep(0.1)
     writes = site.store.calls['/-/kv-txn']
     for _repeat in range(6):
-        reply = caller.ask()
+        reply = caller.send()
         assert reply.status == REFUSED
         assert b'"type":"ends_upstreams"' in reply.body
         assert b'"ran":"no"' in reply.body
@@ -120,7 +120,7 @@
         replica.restart_seconds = 0
     caller.repeat_until_refused()
     gevent.sleep(0.1)
-    assert [caller.ask().status for _ in range(2)] == [REFUSED] * 2
+    assert [caller.send().status for _ in range(2)] == [REFUSED] * 2
     assert count_crashes(site) <= MAX_CRASHES
 
 
@@ -155,10 +155,10 @@
     )
     for replica in site.replicas:
         replica.restart_seconds = 0
-        replica.register_seconds = COME_BACK_SECONDS / 2
+        replica.register_seconds = RETRY_SECONDS / 2
     caller.repeat_until_refused()
     gevent.sleep(0.1)
-    assert [caller.ask().status for _ in range(2)] == [REFUSED] * 2
+    assert [caller.send().status for _ in range(2)] == [REFUSED] * 2
     assert count_crashes(site) <= MAX_CRASHES
 
 
@@ -211,7 +211,7 @@
     known = site.entries[0]._replicas
     wait_for(lambda: 'i-cured' in known.upstreams, 'it is registered')
     gevent.sleep(0.2)
-    assert caller.ask().status == 200
+    assert caller.send().status == 200
     assert count_crashes(site) == before
     culprit = find_culprit(site)
     wait_for(
@@ -270,7 +270,7 @@
 ) -> None:
     """Each loss of all processes used to allow a request two more crashes."""
     wait_for(
-        lambda: caller.ask().status and count_crashes(site) >= 2,
+        lambda: caller.send().status and count_crashes(site) >= 2,
         'two crashes',
     )
     culprit = find_culprit(site)
