--- a/src/wigeonpier/bench/batchcost.py
+++ b/src/wigeonpier/bench/batchcost.py
@@ -15,7 +15,7 @@
 from wigeonpier.bench.platform import StandInPlatform
 from wigeonpier.bench.site import KORO, StandInSite
 from wigeonpier.platform.gateway import GatewayPlatform
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -156,7 +156,7 @@
     """Write each begin and each result to the service, as one owner would."""
     stand_in = StandInPlatform()
     server = stand_in.serve()
-    port = GatewayPlatform(HttpCaller(), server.address)
+    port = GatewayPlatform(HttpClient(), server.address)
     pool = Pool(BASELINE_STREAMS)
     started = time.monotonic()
     for number in range(items):
--- a/src/wigeonpier/bench/faults.py
+++ b/src/wigeonpier/bench/faults.py
@@ -8,7 +8,7 @@
 from gevent.event import Event as Signal
 from result import Err, Result
 
-from wigeonpier.web.client import CallFailure, HttpCaller, StreamReply
+from wigeonpier.web.client import CallFailure, HttpClient, StreamReply
 
 if TYPE_CHECKING:
     from wigeonpier.web.messages import Request, Response
@@ -33,13 +33,13 @@
         """Resume a frozen process."""
         self._running.set()
 
-    def make_caller(self, headers: dict[str, str]) -> HttpCaller:
+    def make_caller(self, headers: dict[str, str]) -> HttpClient:
         """Make the client for the process's outgoing calls.
 
         :param headers: headers of each call.
         :returns: a client that is subject to the faults.
         """
-        return _FaultyCaller(self, headers)
+        return _FaultyClient(self, headers)
 
     def wrap(self, handler: Handler) -> Handler:
         """Make incoming requests subject to the faults.
@@ -71,7 +71,7 @@
         return self.is_dead or address in self.cut_from
 
 
-class _FaultyCaller(HttpCaller):
+class _FaultyClient(HttpClient):
     """Client whose calls fail or wait while faults are active."""
 
     def __init__(self, faults: ProcessFaults, headers: dict[str, str]) -> None:
--- a/src/wigeonpier/bench/fleet.py
+++ b/src/wigeonpier/bench/fleet.py
@@ -19,7 +19,7 @@
 from wigeonpier.bench.site import KORO, PEER_KEY, SitePlan, read_example
 from wigeonpier.entry.configuration import Application
 from wigeonpier.settings.process import EntrySettings, LocalSettings
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 from wigeonpier.web.headers import PEER_KEY as PEER_HEADER
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
     :param replicas: local processes by name.
     :param admins: administration addresses of the entries.
     :param engines: stand-in engines, shared if there are more replicas.
-    :param caller: HTTP client for calls to the processes.
+    :param client: HTTP client for calls to the processes.
     """
 
     folder: Path
@@ -85,8 +85,8 @@
     replicas: dict[str, Daemon] = field(default_factory=dict)
     admins: list[str] = field(default_factory=list)
     engines: list[Daemon] = field(default_factory=list)
-    caller: HttpCaller = field(
-        default_factory=lambda: HttpCaller({PEER_HEADER: PEER_KEY}),
+    client: HttpClient = field(
+        default_factory=lambda: HttpClient({PEER_HEADER: PEER_KEY}),
     )
     _stack: ExitStack = field(default_factory=ExitStack)
     _platform_address: str = ''
@@ -144,7 +144,7 @@
         :returns: the sums, with the latest time.
         """
         counts = [
-            self.caller.call(engine.address, 'GET', COUNTS_PATH)
+            self.client.call(engine.address, 'GET', COUNTS_PATH)
             .unwrap()
             .decode(EngineCount)
             for engine in self.engines
@@ -164,7 +164,7 @@
         :returns: value, 0 if the metric is absent.
         """
         full = f'wigeonpier_{name}'
-        called = self.caller.call(daemon.address, 'GET', '/metrics')
+        called = self.client.call(daemon.address, 'GET', '/metrics')
         lines = called.unwrap().body.decode().splitlines()
         for line in lines:
             key, _, number = line.rpartition(' ')
@@ -263,7 +263,7 @@
                 gevent.sleep(POLL_SECONDS)
 
     def _call_admin(self, raw: bytes) -> bool:
-        called = self.caller.call(
+        called = self.client.call(
             self.admins[0],
             'POST',
             '/admin/v1/configuration',
@@ -288,7 +288,7 @@
         return centres[number % len(centres)]
 
     def _answers_well(self, daemon: Daemon, path: str) -> bool:
-        called = self.caller.call(daemon.address, 'GET', path)
+        called = self.client.call(daemon.address, 'GET', path)
         return not isinstance(called, Err) and called.ok_value.is_good
 
 
--- a/src/wigeonpier/bench/load.py
+++ b/src/wigeonpier/bench/load.py
@@ -13,7 +13,7 @@
 from result import Err
 
 from wigeonpier.bench.answers import make_answer
-from wigeonpier.web.client import HttpCaller, Reply, StreamReply
+from wigeonpier.web.client import HttpClient, Reply, StreamReply
 from wigeonpier.web.messages import ErrorBody, ErrorPage
 from wigeonpier.web.sse import Assembler
 
@@ -60,13 +60,13 @@
     :param addresses: addresses of entries, used in turn.
     :param key: key of the customer.
     :param model: name of the model.
-    :param caller: HTTP client.
+    :param client: HTTP client.
     """
 
     addresses: Sequence[str]
     key: str
     model: str
-    caller: HttpCaller = field(default_factory=HttpCaller)
+    client: HttpClient = field(default_factory=HttpClient)
     _turn: int = 0
 
     def ask(self, arrival: Arrival, started: float = 0) -> Answer:
@@ -78,7 +78,7 @@
         """
         answer = Answer(arrival)
         sent_at = time.monotonic()
-        opened = self.caller.open(
+        opened = self.client.open(
             self._choose_entry(),
             'POST',
             CHAT,
@@ -239,7 +239,7 @@
         :param headers: additional headers.
         :returns: the answer, ``None`` for no answer.
         """
-        called = self.caller.call(
+        called = self.client.call(
             self._choose_entry(),
             method,
             path,
--- a/src/wigeonpier/bench/orders.py
+++ b/src/wigeonpier/bench/orders.py
@@ -12,7 +12,7 @@
 from wigeonpier.web.messages import Response, answer_json
 
 if TYPE_CHECKING:
-    from wigeonpier.web.client import HttpCaller
+    from wigeonpier.web.client import HttpClient
     from wigeonpier.web.messages import Request
 
 LOAD_SECONDS = 60.0
@@ -47,7 +47,7 @@
 
     state: EngineState
     checks_fencing: bool = False
-    weights: tuple[HttpCaller, str] | None = None
+    weights: tuple[HttpClient, str] | None = None
 
     def obey(self, request: Request) -> Response:
         """Carry out one order.
@@ -82,8 +82,8 @@
     def _fetch_weights(self, name: str, version: str) -> None:
         if self.weights is None:
             return
-        caller, address = self.weights
-        reply = caller.call(
+        client, address = self.weights
+        reply = client.call(
             address,
             'GET',
             f'/weights/{name}/{version}',
--- a/src/wigeonpier/bench/overhead.py
+++ b/src/wigeonpier/bench/overhead.py
@@ -21,7 +21,7 @@
 from wigeonpier.bench.load import CHAT, Client, make_chat
 from wigeonpier.bench.quantiles import find_quantile
 from wigeonpier.bench.site import KORO, read_example
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -193,10 +193,10 @@
 
 
 def _call_until(way: Way, give_up: float, times: list[float]) -> None:
-    caller = HttpCaller()
+    client = HttpClient()
     while time.monotonic() < give_up:
         started = time.monotonic()
-        called = caller.call(
+        called = client.call(
             way.address,
             'POST',
             CHAT,
--- a/src/wigeonpier/cli/calls.py
+++ b/src/wigeonpier/cli/calls.py
@@ -9,7 +9,7 @@
 import msgspec
 from result import Err
 
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 from wigeonpier.web.headers import PEER_KEY
 from wigeonpier.web.messages import ErrorPage
 
@@ -67,7 +67,7 @@
     :returns: body of the answer.
     :raises CommandError: if the call fails or is refused.
     """
-    outcome = HttpCaller({PEER_KEY: parsed.key}).call(
+    outcome = HttpClient({PEER_KEY: parsed.key}).call(
         parsed.admin,
         method,
         f'/admin/v1/{path}',
@@ -94,7 +94,7 @@
     :returns: body of the answer.
     :raises CommandError: if the call fails or is refused.
     """
-    outcome = HttpCaller({}).call(
+    outcome = HttpClient({}).call(
         address,
         method,
         path,
--- a/src/wigeonpier/disk/client.py
+++ b/src/wigeonpier/disk/client.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from wigeonpier.web.client import HttpCaller, Reply
+    from wigeonpier.web.client import HttpClient, Reply
 
 APPEND_TIMEOUT_SECONDS = 1.5
 READ_TIMEOUT_SECONDS = 10.0
@@ -48,11 +48,11 @@
 
     def __init__(
         self,
-        caller: HttpCaller,
+        client: HttpClient,
         find_address: Callable[[str], str | None],
     ) -> None:
         """Look up addresses at each call, since VMs move."""
-        self._caller = caller
+        self._client = client
         self._find_address = find_address
         self._failed_at: dict[str, float] = {}
 
@@ -180,7 +180,7 @@
         :param address: ``host:port`` of the folder's process.
         :returns: ages, ``None`` without an answer.
         """
-        called = self._caller.call(
+        called = self._client.call(
             address,
             'GET',
             '/disk/v1/ages',
@@ -227,7 +227,7 @@
         address = self._find_address(incarnation)
         if address is None:
             return Err(DiskFailure.unreachable)
-        called = self._caller.call(
+        called = self._client.call(
             address,
             method,
             path,
--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -49,7 +49,7 @@
     make_disk_client,
 )
 from wigeonpier.settings.process import EntrySettings, split_address
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 from wigeonpier.web.filters import (
     answer_errors,
     limit_bodies,
@@ -158,7 +158,7 @@
 
 def build_entry(
     settings: EntrySettings,
-    make_caller: Callable[[dict[str, str]], HttpCaller] = HttpCaller,
+    make_caller: Callable[[dict[str, str]], HttpClient] = HttpClient,
 ) -> EntryApp:
     """Wire an entry process.
 
@@ -170,7 +170,7 @@
     clock = time.monotonic
     directory = Directory(clock, lambda name: _find_region(components, name))
     disks = make_disk_client(
-        components.caller,
+        components.client,
         lambda: _index_disks(directory),
     )
     board = JobBoard(
@@ -185,7 +185,7 @@
     )
     key_ring = KeyRing()
     heartbeat_sender = HeartbeatSender(
-        components.caller,
+        components.client,
         components.holder,
         settings.entries,
         ENTRY_FAN_OUT,
@@ -200,10 +200,10 @@
     )
     forwarder = Forwarder(
         directory,
-        components.caller,
+        components.client,
         components.metrics,
         components.draw,
-        SuspectFilter(components.suspicions, components.caller),
+        SuspectFilter(components.suspicions, components.client),
     )
     online = OnlineHandler(
         components.holder,
@@ -218,7 +218,7 @@
         directory,
         board,
         limits,
-        components.caller,
+        components.client,
         components.suspicions,
     )
     server = _build_server(components, key_ring, online, files, peers)
--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -46,7 +46,7 @@
     from wigeonpier.membership.directory import Directory
     from wigeonpier.policy.route import UpstreamState
     from wigeonpier.telemetry.metrics import Metrics
-    from wigeonpier.web.client import HttpCaller, StreamReply
+    from wigeonpier.web.client import HttpClient, StreamReply
     from wigeonpier.web.messages import Request
 
 MILLISECONDS = 1000
@@ -148,7 +148,7 @@
     """Chooses upstreams and relays their answers.
 
     :param directory: upstreams that the entry knows.
-    :param caller: connections to local processes.
+    :param client: connections to local processes.
     :param metrics: metrics of this process.
     :param rng: source of randomness.
     :param suspect_filter: refuses requests that crash upstreams.
@@ -156,7 +156,7 @@
     """
 
     directory: Directory
-    caller: HttpCaller
+    client: HttpClient
     metrics: Metrics
     rng: random.Random
     suspect_filter: SuspectFilter
@@ -245,7 +245,7 @@
         pending: PendingRequest,
         state: UpstreamState,
     ) -> Result[StreamReply, RefusedAttempt]:
-        opened = self.caller.open(
+        opened = self.client.open(
             state.address,
             pending.request.method,
             pending.path,
--- a/src/wigeonpier/entry/limitcalls.py
+++ b/src/wigeonpier/entry/limitcalls.py
@@ -51,7 +51,7 @@
         )
 
     def call_owner(owner: str, call: LimitCall) -> LimitAnswer | None:
-        called = components.caller.call(
+        called = components.client.call(
             owner,
             'POST',
             LIMIT_PATH,
--- a/src/wigeonpier/entry/peers.py
+++ b/src/wigeonpier/entry/peers.py
@@ -26,7 +26,7 @@
     from wigeonpier.membership.directory import Directory
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.settings.holder import ConfigurationHolder
-    from wigeonpier.web.client import HttpCaller
+    from wigeonpier.web.client import HttpClient
     from wigeonpier.web.messages import Request
 
 
@@ -38,7 +38,7 @@
     :param directory: view of the fleet.
     :param board: chunks to offer.
     :param limits: limits of customers.
-    :param caller: connections to peers.
+    :param client: connections to peers.
     :param suspicions: requests that are suspected of crashing upstreams.
     """
 
@@ -46,7 +46,7 @@
     directory: Directory
     board: JobBoard
     limits: CustomerLimits
-    caller: HttpCaller
+    client: HttpClient
     suspicions: Suspicions
 
     def handle_heartbeat(self, request: Request) -> Response:
@@ -103,6 +103,6 @@
         return self.limits.report()
 
     def _fetch_configuration(self, address: str) -> None:
-        called = self.caller.call(address, 'GET', CONFIGURATION_PATH)
+        called = self.client.call(address, 'GET', CONFIGURATION_PATH)
         if not isinstance(called, Err) and called.ok_value.is_good:
             self.holder.adopt(called.ok_value.body)
--- a/src/wigeonpier/entry/suspects.py
+++ b/src/wigeonpier/entry/suspects.py
@@ -13,7 +13,7 @@
     from wigeonpier.entry.forward import PendingRequest
     from wigeonpier.membership.suspicions import Suspicions
     from wigeonpier.policy.route import UpstreamState
-    from wigeonpier.web.client import HttpCaller
+    from wigeonpier.web.client import HttpClient
 
 # An entry does not know the version of an upstream's software.
 NO_VERSION = frozenset(('',))
@@ -24,11 +24,11 @@
     """Checks requests and reports suspected ones to local processes.
 
     :param suspicions: suspected and refused requests known here.
-    :param caller: connections to local processes.
+    :param client: connections to local processes.
     """
 
     suspicions: Suspicions
-    caller: HttpCaller
+    client: HttpClient
 
     def check(self, pending: PendingRequest, state: UpstreamState) -> None:
         """Refuse a request, or report a suspected one before it runs.
@@ -45,7 +45,7 @@
                 ran=Ran.unknown if pending.may_have_run else Ran.no,
             )
         if run_mode is not RunMode.free:
-            exchange_suspicions(self.caller, state.address, self.suspicions)
+            exchange_suspicions(self.client, state.address, self.suspicions)
 
     def refresh(self, pending: PendingRequest, state: UpstreamState) -> None:
         """Get from a local process whether its upstream crashed.
@@ -54,7 +54,7 @@
         :param state: the upstream that it was sent to.
         """
         pending.compute_fingerprint()
-        exchange_suspicions(self.caller, state.address, self.suspicions)
+        exchange_suspicions(self.client, state.address, self.suspicions)
 
     def _judge(self, pending: PendingRequest) -> RunMode:
         if self.suspicions.is_empty:
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -33,7 +33,7 @@
 )
 from wigeonpier.settings.deployment import ServiceKind
 from wigeonpier.settings.process import LocalSettings, split_address
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 from wigeonpier.web.filters import (
     answer_errors,
     limit_bodies,
@@ -138,7 +138,7 @@
 
 def build_local(
     settings: LocalSettings,
-    make_caller: Callable[[dict[str, str]], HttpCaller] = HttpCaller,
+    make_caller: Callable[[dict[str, str]], HttpClient] = HttpClient,
 ) -> LocalApp:
     """Build a local process.
 
@@ -147,7 +147,7 @@
     :returns: the process, not started.
     """
     components = build_components(settings, make_caller)
-    upstream = HttpCaller()
+    upstream = HttpClient()
     gate = Gate()
     watch = UpstreamWatch(
         upstream,
@@ -155,7 +155,7 @@
         lambda: _find_service_kind(components),
     )
     heartbeat_sender = HeartbeatSender(
-        components.caller,
+        components.client,
         components.holder,
         settings.entries,
         FAN_OUT,
@@ -246,7 +246,7 @@
     return Workshop(
         platform=components.platform,
         disks=make_disk_client(
-            components.caller,
+            components.client,
             lambda: heartbeat_sender.peers.disks,
         ),
         list_disks=list_disks,
--- a/src/wigeonpier/local/engine.py
+++ b/src/wigeonpier/local/engine.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from wigeonpier.local.gate import Gate
     from wigeonpier.telemetry.metrics import Metrics
-    from wigeonpier.web.client import HttpCaller, StreamReply
+    from wigeonpier.web.client import HttpClient, StreamReply
 
 READ_TIMEOUT_SECONDS = 60.0
 CANCEL_TIMEOUT_SECONDS = 2.0
@@ -87,7 +87,7 @@
     :param service: service that the upstream is a replica of.
     """
 
-    client: HttpCaller
+    client: HttpClient
     address: str
     gate: Gate
     metrics: Metrics
--- a/src/wigeonpier/local/online.py
+++ b/src/wigeonpier/local/online.py
@@ -22,7 +22,7 @@
     from wigeonpier.local.gate import Gate
     from wigeonpier.local.suspects import LocalSuspects, SuspectRun
     from wigeonpier.telemetry.metrics import Metrics
-    from wigeonpier.web.client import HttpCaller, StreamReply
+    from wigeonpier.web.client import HttpClient, StreamReply
     from wigeonpier.web.messages import Request
 
 DEFAULT_DEADLINE_MS = 120_000
@@ -44,7 +44,7 @@
     """
 
     gate: Gate
-    client: HttpCaller
+    client: HttpClient
     upstream: str
     metrics: Metrics
     service: str
--- a/src/wigeonpier/local/upstream.py
+++ b/src/wigeonpier/local/upstream.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from wigeonpier.web.client import HttpCaller
+    from wigeonpier.web.client import HttpClient
 
 PROBE_INTERVAL_SECONDS = 0.5
 PROBE_TIMEOUT_SECONDS = 1.0
@@ -45,7 +45,7 @@
     :param on_change: called when its health or its models change.
     """
 
-    client: HttpCaller
+    client: HttpClient
     address: str
     find_kind: Callable[[], ServiceKind]
     is_healthy: bool = False
--- a/src/wigeonpier/membership/exchange.py
+++ b/src/wigeonpier/membership/exchange.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from wigeonpier.membership.suspicions import Suspicions
-    from wigeonpier.web.client import HttpCaller
+    from wigeonpier.web.client import HttpClient
 
 EXCHANGE_PATH = '/peer/v1/suspicions'
 TIMEOUT_SECONDS = 0.5
@@ -25,18 +25,18 @@
 
 
 def exchange_suspicions(
-    caller: HttpCaller,
+    client: HttpClient,
     address: str,
     suspicions: Suspicions,
 ) -> None:
     """Send the local state to another process and merge its state.
 
-    :param caller: connections to peers.
+    :param client: connections to peers.
     :param address: ``host:port`` of the other process.
     :param suspicions: local state; it is left as it is if the other process
         does not answer, and heartbeats synchronize it later.
     """
-    called = caller.call(
+    called = client.call(
         address,
         'POST',
         EXCHANGE_PATH,
--- a/src/wigeonpier/membership/reporter.py
+++ b/src/wigeonpier/membership/reporter.py
@@ -25,7 +25,7 @@
 
     from wigeonpier.platform.port import Failure, Vm
     from wigeonpier.settings.holder import ConfigurationHolder
-    from wigeonpier.web.client import HttpCaller
+    from wigeonpier.web.client import HttpClient
 
 PERIOD_SECONDS = 1.0
 TIMEOUT_SECONDS = 1.0
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        caller: HttpCaller,
+        client: HttpClient,
         holder: ConfigurationHolder,
         seeds: tuple[str, ...],
         fan_out: int,
@@ -65,7 +65,7 @@
         self.on_reply: Callable[[HeartbeatReply], None] = _ignore_reply
         # Whether a heartbeat has been sent to the chosen entries once.
         self.has_tried_all = False
-        self._caller = caller
+        self._client = client
         self._holder = holder
         self._seeds = seeds
         self._fan_out = fan_out
@@ -141,7 +141,7 @@
         target: str,
         heartbeat: Heartbeat,
     ) -> HeartbeatReply | None:
-        called = self._caller.call(
+        called = self._client.call(
             target,
             'POST',
             HEARTBEAT_PATH,
@@ -169,7 +169,7 @@
         self.peers.entries = tuple(sorted(entries))
 
     def _fetch_configuration(self, target: str) -> None:
-        called = self._caller.call(target, 'GET', CONFIGURATION_PATH)
+        called = self._client.call(target, 'GET', CONFIGURATION_PATH)
         if not isinstance(called, Err) and called.ok_value.is_good:
             self._holder.adopt(called.ok_value.body)
 
--- a/src/wigeonpier/platform/gateway.py
+++ b/src/wigeonpier/platform/gateway.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from wigeonpier.web.client import HttpCaller, Reply
+    from wigeonpier.web.client import HttpClient, Reply
 
 CALL_SECONDS = 2.0
 WATCH_SECONDS = 60.0
@@ -86,13 +86,13 @@
 class GatewayPlatform:
     """Implements :class:`Platform` over HTTP."""
 
-    def __init__(self, caller: HttpCaller, address: str) -> None:
+    def __init__(self, client: HttpClient, address: str) -> None:
         """Create a client of the gateway.
 
-        :param caller: sends the requests.
+        :param client: sends the requests.
         :param address: ``host:port`` of the gateway.
         """
-        self._caller = caller
+        self._client = client
         self._address = address
 
     def get(self, key: str) -> Result[Entry | None, Failure]:
@@ -169,7 +169,7 @@
         create = _make_prefix_range(prefix) | {
             'start_revision': str(revision + 1)
         }
-        opened = self._caller.open(
+        opened = self._client.open(
             self._address,
             'POST',
             '/v3/watch',
@@ -188,7 +188,7 @@
 
     def list_vms(self) -> Result[tuple[Vm, ...], Failure]:
         """Read the VM list, which may be out of date."""
-        called = self._caller.call(
+        called = self._client.call(
             self._address,
             'GET',
             '/vms',
@@ -220,7 +220,7 @@
         model: type[Model],
         failure_if_lost: Failure,
     ) -> Result[Model, Failure]:
-        called = self._caller.call(
+        called = self._client.call(
             self._address,
             'POST',
             path,
--- a/src/wigeonpier/process.py
+++ b/src/wigeonpier/process.py
@@ -28,7 +28,7 @@
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import configure_logs, log_event
 from wigeonpier.telemetry.metrics import Metrics
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 from wigeonpier.web.exporters import choose_exporter
 from wigeonpier.web.headers import PEER_KEY
 from wigeonpier.web.pages import HealthPage, make_page_routes
@@ -67,7 +67,7 @@
     :param settings: settings of the process.
     :param start_id: random id of this start.
     :param metrics: metrics of the process.
-    :param caller: connections to peers; sends the peer key.
+    :param client: connections to peers; sends the peer key.
     :param platform: port to the platform.
     :param holder: configuration in force.
     :param export: exports finished spans.
@@ -81,7 +81,7 @@
     settings: ProcessSettings
     start_id: str
     metrics: Metrics
-    caller: HttpCaller
+    client: HttpClient
     platform: Platform
     holder: ConfigurationHolder
     export: Callable[[SpanRecord], None]
@@ -109,7 +109,7 @@
 
 def build_components(
     settings: ProcessSettings,
-    make_caller: Callable[[dict[str, str]], HttpCaller] = HttpCaller,
+    make_caller: Callable[[dict[str, str]], HttpClient] = HttpClient,
 ) -> Components:
     """Build the components that both daemons have.
 
@@ -124,7 +124,7 @@
         settings=settings,
         start_id=secrets.token_hex(BOOT_ID_BYTES),
         metrics=Metrics(),
-        caller=make_caller({PEER_KEY: settings.peer_keys[0]}),
+        client=make_caller({PEER_KEY: settings.peer_keys[0]}),
         platform=GatewayPlatform(make_caller({}), settings.platform),
         holder=ConfigurationHolder(
             settings.site or settings.data_centre,
@@ -137,7 +137,7 @@
 
 
 def make_disk_client(
-    caller: HttpCaller,
+    client: HttpClient,
     find_disks: Callable[[], dict[str, DiskReport]],
 ) -> DiskClient:
     """Make a client that finds data folders in a view of the fleet.
@@ -145,7 +145,7 @@
     For some seconds after the start the client waits for a folder that is not
     known yet.
 
-    :param caller: connections to peers.
+    :param client: connections to peers.
     :param find_disks: returns the reachable folders by incarnation.
     :returns: the client.
     """
@@ -159,7 +159,7 @@
             report = find_disks().get(incarnation)
         return report.address if report else None
 
-    return DiskClient(caller, find_address)
+    return DiskClient(client, find_address)
 
 
 def make_common_routes(components: Components) -> list[Route]:
@@ -180,7 +180,7 @@
     )
     components.metrics.add_gauge(
         'peer_bytes_total',
-        lambda: components.caller.bytes_moved,
+        lambda: components.client.bytes_moved,
     )
     if components.folder is not None:
         routes += make_disk_routes(components.folder)
--- a/src/wigeonpier/web/client.py
+++ b/src/wigeonpier/web/client.py
@@ -110,7 +110,7 @@
             response._pool = None  # noqa: WPS437
 
 
-class HttpCaller:
+class HttpClient:
     """Client with persistent connections, grouped by address and timeout."""
 
     def __init__(self, headers: dict[str, str] | None = None) -> None:
--- a/src/wigeonpier/web/exporters.py
+++ b/src/wigeonpier/web/exporters.py
@@ -16,7 +16,7 @@
     ignore_span,
     open_line_exporter,
 )
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -63,7 +63,7 @@
     :returns: the exporter.
     """
     queue: Queue[SpanRecord] = Queue(MAX_QUEUED_SPANS)
-    client = HttpCaller()
+    client = HttpClient()
 
     def export(record: SpanRecord) -> None:
         with suppress(Full):
@@ -108,7 +108,7 @@
 
 def _send_spans(
     queue: Queue[SpanRecord],
-    client: HttpCaller,
+    client: HttpClient,
     address: str,
 ) -> None:
     records = [queue.get()]
--- a/tests/bench/test_engine.py
+++ b/tests/bench/test_engine.py
@@ -15,7 +15,7 @@
 from wigeonpier.bench.engine import StandInEngine
 from wigeonpier.bench.load import make_chat
 from wigeonpier.bench.weights import StandInWeightStore
-from wigeonpier.web.client import HttpCaller, Reply
+from wigeonpier.web.client import HttpClient, Reply
 
 MODEL = 'm'
 SHAPE = EngineShape(
@@ -43,14 +43,14 @@
 
 def _call(engine: StandInEngine, method: str, path: str, content=None) -> Reply:
     body = b'' if content is None else msgspec.json.encode(content)
-    return HttpCaller().call(engine.address, method, path, body).unwrap()
+    return HttpClient().call(engine.address, method, path, body).unwrap()
 
 
 def _complete(
     engine: StandInEngine, prompt: str, length: int, **headers
 ) -> Any:
     sent = {name.replace('_', '-'): text for name, text in headers.items()}
-    called = HttpCaller().call(
+    called = HttpClient().call(
         engine.address,
         'POST',
         '/v1/chat/completions',
@@ -168,7 +168,7 @@
     store = StandInWeightStore(at_once=1, seconds=0.05)
     server = store.serve()
     engine = engines()
-    engine.orders.weights = (HttpCaller(), server.address)
+    engine.orders.weights = (HttpClient(), server.address)
     load = {'kind': 'load_model', 'model': 'n', 'version': '2'}
     load_adapter = {'kind': 'load_adapter', 'adapter': 'a', 'version': '1'}
     sent = [
--- a/tests/entry/test_forward.py
+++ b/tests/entry/test_forward.py
@@ -30,7 +30,7 @@
 )
 
 
-class FailingCaller:
+class FailingClient:
     """Connections whose calls fail with the given failures, in order."""
 
     def __init__(self, failures: list[CallFailure]) -> None:
@@ -84,23 +84,23 @@
 def test_refusal_reports_the_outcome_of_all_attempts(
     failures, is_idempotent, count
 ) -> None:
-    caller = FailingCaller(failures)
+    client = FailingClient(failures)
     forwarder = Forwarder(
         _make_directory(count),
-        caller,
+        client,
         Metrics(),
         random.Random(1),
-        SuspectFilter(Suspicions(), caller),
+        SuspectFilter(Suspicions(), client),
     )
     pending = _make_request(is_idempotent=is_idempotent)
     with pytest.raises(Refusal) as caught:
         forwarder.send(pending)
-    may_have_run = CallFailure.lost in caller.returned
+    may_have_run = CallFailure.lost in client.returned
     assert (caught.value.ran is Ran.unknown) == may_have_run
-    assert len(set(caller.addresses)) == len(caller.addresses)
+    assert len(set(client.addresses)) == len(client.addresses)
     if not is_idempotent:
-        assert caller.returned.count(CallFailure.lost) <= 1
-        assert CallFailure.lost not in caller.returned[:-1]
+        assert client.returned.count(CallFailure.lost) <= 1
+        assert CallFailure.lost not in client.returned[:-1]
     assert all(
         state.in_flight == 0 for state in forwarder.directory.upstreams.values()
     )
--- a/tests/features/steps/batch_steps.py
+++ b/tests/features/steps/batch_steps.py
@@ -18,7 +18,7 @@
 from wigeonpier.bench.load import Client, make_lines
 from wigeonpier.platform.keys import name_chunk, name_job
 from wigeonpier.platform.port import Failure
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 
 if TYPE_CHECKING:
     from behave.runner import Context
@@ -296,7 +296,7 @@
 def check_usage(context: Context, count: int) -> None:
     entry = context.bench.site.find_entry()
     peer_key = entry.settings.peer_keys[0]
-    reply = HttpCaller({'wigeonpier-peer-key': peer_key}).call(
+    reply = HttpClient({'wigeonpier-peer-key': peer_key}).call(
         entry.app.admin.address,
         'GET',
         '/admin/v1/usage',
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -12,7 +12,7 @@
 
 from tests.builders import wait_for
 from wigeonpier.entry.configuration import Application
-from wigeonpier.web.client import HttpCaller, Reply
+from wigeonpier.web.client import HttpClient, Reply
 
 if TYPE_CHECKING:
     from behave.runner import Context
@@ -213,7 +213,7 @@
 
 
 def _post(entry: Any, change: Application) -> Reply:
-    client = HttpCaller({'wigeonpier-peer-key': entry.settings.peer_keys[0]})
+    client = HttpClient({'wigeonpier-peer-key': entry.settings.peer_keys[0]})
     return client.call(
         entry.app.admin.address,
         'POST',
--- a/tests/features/steps/leaving_steps.py
+++ b/tests/features/steps/leaving_steps.py
@@ -15,7 +15,7 @@
 from wigeonpier.bench.fleet import ProcessFleet
 from wigeonpier.bench.load import Client
 from wigeonpier.bench.site import KORO
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 
 if TYPE_CHECKING:
     from behave.runner import Context
@@ -62,7 +62,7 @@
     client = Client([entry.address], KORO.key, KORO.service)
     context.answers = [client.ask(Arrival(0, 'before', 2))]
     entry.process.send_signal(signal.SIGTERM)
-    http_client = HttpCaller()
+    http_client = HttpClient()
     while http_client.call(entry.address, 'GET', '/readyz').unwrap().is_good:
         context.answers.append(client.ask(Arrival(0, 'meanwhile', 2)))
     context.answers.append(client.ask(Arrival(0, 'just after', 2)))
@@ -145,7 +145,7 @@
 def _call_drain(context: Context, method: str) -> None:
     for entry in context.bench.site.entries.values():
         key = entry.settings.peer_keys[0]
-        HttpCaller({'wigeonpier-peer-key': key}).call(
+        HttpClient({'wigeonpier-peer-key': key}).call(
             entry.app.admin.address,
             method,
             f'/admin/v1/drains/{REPLICA}',
--- a/tests/features/steps/online_steps.py
+++ b/tests/features/steps/online_steps.py
@@ -15,7 +15,7 @@
 from wigeonpier.bench.arrivals import Arrival
 from wigeonpier.bench.load import BOUNDARY, make_chat, make_lines
 from wigeonpier.telemetry.trace import SpanRecord
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 
 if TYPE_CHECKING:
     from behave.runner import Context
@@ -180,7 +180,7 @@
 @then('a trace joins the entry and the local process')
 def check_trace(context: Context) -> None:
     site = context.bench.site
-    reply = HttpCaller().call(
+    reply = HttpClient().call(
         site.find_entry().app.server.address,
         'POST',
         '/v1/chat/completions',
@@ -245,7 +245,7 @@
 
 
 def _get(address: str, path: str) -> Reply:
-    return HttpCaller().call(address, 'GET', path).unwrap()
+    return HttpClient().call(address, 'GET', path).unwrap()
 
 
 def _pay(context: Context, track: str) -> Reply | None:
--- a/tests/local/test_engine.py
+++ b/tests/local/test_engine.py
@@ -13,7 +13,7 @@
 from wigeonpier.local.engine import Engine, Run, RunEnd, prepare_body
 from wigeonpier.local.gate import Gate
 from wigeonpier.telemetry.metrics import Metrics
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 
 MODEL = 'm'
 ANSWER_TOKENS = 12
@@ -29,7 +29,7 @@
 
 
 def _make_engine(address: str) -> Engine:
-    return Engine(HttpCaller(), address, Gate(), Metrics(), 's')
+    return Engine(HttpClient(), address, Gate(), Metrics(), 's')
 
 
 def _make_run(prompt: str) -> Run:
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -10,14 +10,14 @@
 from wigeonpier.platform.certain import swap_certainly
 from wigeonpier.platform.gateway import GatewayPlatform
 from wigeonpier.platform.port import Failure, VmState
-from wigeonpier.web.client import HttpCaller
+from wigeonpier.web.client import HttpClient
 
 
 @pytest.fixture
 def stand_in():
     platform = StandInPlatform(seed=1)
     server = platform.serve()
-    yield platform, GatewayPlatform(HttpCaller(), server.address)
+    yield platform, GatewayPlatform(HttpClient(), server.address)
     server.stop()
 
 
@@ -41,7 +41,7 @@
 
 def test_service_that_is_down_applies_no_write(stand_in) -> None:
     platform, port = stand_in
-    unreachable = GatewayPlatform(HttpCaller(), '127.0.0.1:1')
+    unreachable = GatewayPlatform(HttpClient(), '127.0.0.1:1')
     assert unreachable.swap('k', b'one', 0) == Err(Failure.unavailable)
     platform.faults.down = True
     assert port.get('k') == Err(Failure.unavailable)
--- a/tests/web/test_client.py
+++ b/tests/web/test_client.py
@@ -9,7 +9,7 @@
 from gevent.server import StreamServer
 from result import Err
 
-from wigeonpier.web.client import CallFailure, HttpCaller
+from wigeonpier.web.client import CallFailure, HttpClient
 from wigeonpier.web.messages import Response
 from wigeonpier.web.server import Server
 
@@ -39,7 +39,7 @@
         return Response(200, request.path.encode())
 
     server = serve(answer)
-    client = HttpCaller()
+    client = HttpClient()
     for _ in range(3):
         slow = client.call(server.address, 'POST', '/slow', patience=0.2)
         assert slow == Err(CallFailure.lost)
@@ -56,7 +56,7 @@
         return Response(200, (b'line %d\n' % n for n in range(10_000)))
 
     server = serve(answer)
-    client = HttpCaller()
+    client = HttpClient()
     for _ in range(5):
         stream = client.open(server.address, 'GET', '/stream').unwrap()
         assert next(stream.iterate_lines()) == b'line 0\n'
@@ -75,7 +75,7 @@
 
     server = StreamServer(('127.0.0.1', 0), receive_and_close)
     server.start()
-    client = HttpCaller()
+    client = HttpClient()
     for count in (1, 2, 3):
         outcome = client.call(f'127.0.0.1:{server.server_port}', method, '/x')
         assert outcome == Err(CallFailure.lost)
@@ -84,7 +84,7 @@
 
 
 def test_a_refused_connection_is_reported_as_not_sent() -> None:
-    outcome = HttpCaller().call('127.0.0.1:1', 'POST', '/x')
+    outcome = HttpClient().call('127.0.0.1:1', 'POST', '/x')
     assert outcome == Err(CallFailure.not_sent)
 
 
@@ -93,7 +93,7 @@
         return Response(200, _yield_truncated_body())
 
     server = serve(answer)
-    assert HttpCaller().call(server.address, 'GET', '/x') == Err(
+    assert HttpClient().call(server.address, 'GET', '/x') == Err(
         CallFailure.lost,
     )
 
@@ -123,7 +123,7 @@
         (server._server.handler_class,),
         {'get_environ': read_port},
     )
-    client = HttpCaller()
+    client = HttpClient()
     for _ in range(20):
         assert client.call(server.address, 'POST', '/x', b'body').is_ok()
     assert len(ports) == 1
