--- a/src/wigeonpier/bench/faults.py
+++ b/src/wigeonpier/bench/faults.py
@@ -33,7 +33,7 @@
         """Resume a frozen process."""
         self._running.set()
 
-    def make_caller(self, headers: dict[str, str]) -> HttpClient:
+    def make_client(self, headers: dict[str, str]) -> HttpClient:
         """Make the client for the process's outgoing calls.
 
         :param headers: headers of each call.
--- a/src/wigeonpier/bench/site.py
+++ b/src/wigeonpier/bench/site.py
@@ -228,7 +228,7 @@
             trace_file=self.trace_file,
         )
         faults = ProcessFaults()
-        app = build_entry(settings, faults.make_caller)
+        app = build_entry(settings, faults.make_client)
         app.server.handler = faults.wrap(app.server.handler)
         address = app.start()
         self.platform.remove_vm(name)
@@ -364,7 +364,7 @@
             trace_file=self.trace_file,
         )
         faults = ProcessFaults()
-        app = build_local(settings, faults.make_caller)
+        app = build_local(settings, faults.make_client)
         app.server.handler = faults.wrap(app.server.handler)
         address = app.start()
         self.platform.remove_vm(name)
--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -158,15 +158,15 @@
 
 def build_entry(
     settings: EntrySettings,
-    make_caller: Callable[[dict[str, str]], HttpClient] = HttpClient,
+    make_client: Callable[[dict[str, str]], HttpClient] = HttpClient,
 ) -> EntryApp:
     """Wire an entry process.
 
     :param settings: settings of the process.
-    :param make_caller: makes the connections to peers and the platform.
+    :param make_client: makes the connections to peers and the platform.
     :returns: the process; nothing is started yet.
     """
-    components = build_components(settings, make_caller)
+    components = build_components(settings, make_client)
     clock = time.monotonic
     directory = Directory(clock, lambda name: _find_region(components, name))
     disks = make_disk_client(
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -138,15 +138,15 @@
 
 def build_local(
     settings: LocalSettings,
-    make_caller: Callable[[dict[str, str]], HttpClient] = HttpClient,
+    make_client: Callable[[dict[str, str]], HttpClient] = HttpClient,
 ) -> LocalApp:
     """Build a local process.
 
     :param settings: its settings.
-    :param make_caller: creates the client for peers and the platform.
+    :param make_client: creates the client for peers and the platform.
     :returns: the process, not started.
     """
-    components = build_components(settings, make_caller)
+    components = build_components(settings, make_client)
     upstream = HttpClient()
     gate = Gate()
     watch = UpstreamWatch(
--- a/src/wigeonpier/process.py
+++ b/src/wigeonpier/process.py
@@ -109,12 +109,12 @@
 
 def build_components(
     settings: ProcessSettings,
-    make_caller: Callable[[dict[str, str]], HttpClient] = HttpClient,
+    make_client: Callable[[dict[str, str]], HttpClient] = HttpClient,
 ) -> Components:
     """Build the components that both daemons have.
 
     :param settings: settings of the process.
-    :param make_caller: makes the connections to peers and the platform.
+    :param make_client: makes the connections to peers and the platform.
     :returns: the components; nothing is started yet.
     """
     folder = None
@@ -124,8 +124,8 @@
         settings=settings,
         start_id=secrets.token_hex(BOOT_ID_BYTES),
         metrics=Metrics(),
-        client=make_caller({PEER_KEY: settings.peer_keys[0]}),
-        platform=GatewayPlatform(make_caller({}), settings.platform),
+        client=make_client({PEER_KEY: settings.peer_keys[0]}),
+        platform=GatewayPlatform(make_client({}), settings.platform),
         holder=ConfigurationHolder(
             settings.site or settings.data_centre,
             settings.data_folder,
