--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -28,7 +28,7 @@
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.web import headers
-from wigeonpier.web.client import CallFailure, round_patience
+from wigeonpier.web.client import CallFailure, round_timeout
 from wigeonpier.web.messages import EVENT_STREAM_TYPE, ErrorPage, Response
 from wigeonpier.web.sse import (
     Whole,
@@ -251,7 +251,7 @@
             pending.path,
             pending.body,
             headers=_make_headers(pending),
-            patience=round_patience(pending.seconds_left),
+            patience=round_timeout(pending.seconds_left),
         )
         now = self.directory.clock()
         if isinstance(opened, Err):
--- a/src/wigeonpier/local/online.py
+++ b/src/wigeonpier/local/online.py
@@ -12,7 +12,7 @@
 
 from wigeonpier.errors import ErrorKind, Ran, Refusal
 from wigeonpier.web import headers
-from wigeonpier.web.client import CallFailure, round_patience
+from wigeonpier.web.client import CallFailure, round_timeout
 from wigeonpier.web.messages import EVENT_STREAM_TYPE, Response
 from wigeonpier.web.sse import is_text_line
 
@@ -102,7 +102,7 @@
         target,
         run.body,
         headers=forwarded,
-        patience=round_patience(deadline - time.monotonic()),
+        patience=round_timeout(deadline - time.monotonic()),
     )
     if isinstance(opened, Err):
         if opened.err_value is CallFailure.not_sent:
--- a/src/wigeonpier/web/client.py
+++ b/src/wigeonpier/web/client.py
@@ -225,7 +225,7 @@
         return client
 
 
-def round_patience(seconds: float) -> float:
+def round_timeout(seconds: float) -> float:
     """Round a timeout up to one of a few values.
 
     Connections are grouped by timeout; few distinct values let calls share
