--- a/src/wigeonpier/bench/load.py
+++ b/src/wigeonpier/bench/load.py
@@ -84,7 +84,7 @@
             CHAT,
             self.make_body(arrival, is_stream=True),
             headers=self._make_headers(),
-            patience=TIMEOUT_SECONDS,
+            timeout=TIMEOUT_SECONDS,
         )
         if isinstance(opened, Err):
             answer.kind = opened.err_value.value
@@ -245,7 +245,7 @@
             path,
             body,
             headers=self._make_headers() | (headers or {}),
-            patience=TIMEOUT_SECONDS,
+            timeout=TIMEOUT_SECONDS,
         )
         return None if isinstance(called, Err) else called.ok_value
 
--- a/src/wigeonpier/bench/orders.py
+++ b/src/wigeonpier/bench/orders.py
@@ -87,7 +87,7 @@
             address,
             'GET',
             f'/weights/{name}/{version}',
-            patience=LOAD_SECONDS,
+            timeout=LOAD_SECONDS,
         )
         if isinstance(reply, Err) or not reply.ok_value.is_good:
             raise Refusal(ErrorKind.overloaded, 'the weight store refused')
--- a/src/wigeonpier/cli/calls.py
+++ b/src/wigeonpier/cli/calls.py
@@ -72,7 +72,7 @@
         method,
         f'/admin/v1/{path}',
         b'' if content is None else msgspec.json.encode(content),
-        patience=CALL_TIMEOUT_SECONDS,
+        timeout=CALL_TIMEOUT_SECONDS,
     )
     if isinstance(outcome, Err):
         raise CommandError(
@@ -98,7 +98,7 @@
         address,
         method,
         path,
-        patience=PAGE_TIMEOUT_SECONDS,
+        timeout=PAGE_TIMEOUT_SECONDS,
     )
     if isinstance(outcome, Err):
         raise CommandError(f'{address} does not answer')
--- a/src/wigeonpier/disk/client.py
+++ b/src/wigeonpier/disk/client.py
@@ -184,7 +184,7 @@
             address,
             'GET',
             '/disk/v1/ages',
-            patience=1,
+            timeout=1,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             return None
@@ -233,7 +233,7 @@
             path,
             body,
             headers=headers | {routes.INCARNATION: incarnation},
-            patience=timeout,
+            timeout=timeout,
         )
         failure: DiskFailure | None = DiskFailure.unreachable
         if isinstance(called, Ok):
--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -251,7 +251,7 @@
             pending.path,
             pending.body,
             headers=_make_headers(pending),
-            patience=round_timeout(pending.seconds_left),
+            timeout=round_timeout(pending.seconds_left),
         )
         now = self.directory.clock()
         if isinstance(opened, Err):
--- a/src/wigeonpier/entry/limitcalls.py
+++ b/src/wigeonpier/entry/limitcalls.py
@@ -56,7 +56,7 @@
             'POST',
             LIMIT_PATH,
             msgspec.json.encode(call),
-            patience=CALL_TIMEOUT_SECONDS,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             return None
--- a/src/wigeonpier/local/engine.py
+++ b/src/wigeonpier/local/engine.py
@@ -130,7 +130,7 @@
                 self.address,
                 'POST',
                 f'/v1/streams/{run.identity}/cancel',
-                patience=CANCEL_TIMEOUT_SECONDS,
+                timeout=CANCEL_TIMEOUT_SECONDS,
             )
             if isinstance(called, Err) or not run.is_paused:
                 return
@@ -198,7 +198,7 @@
                 'content-type': JSON_TYPE,
                 headers.REQUEST_ID: identity,
             },
-            patience=READ_TIMEOUT_SECONDS,
+            timeout=READ_TIMEOUT_SECONDS,
         )
 
     def _read(self, run: Run, reply: StreamReply) -> RunEnd:
--- a/src/wigeonpier/local/online.py
+++ b/src/wigeonpier/local/online.py
@@ -102,7 +102,7 @@
         target,
         run.body,
         headers=forwarded,
-        patience=round_timeout(deadline - time.monotonic()),
+        timeout=round_timeout(deadline - time.monotonic()),
     )
     if isinstance(opened, Err):
         if opened.err_value is CallFailure.not_sent:
--- a/src/wigeonpier/local/upstream.py
+++ b/src/wigeonpier/local/upstream.py
@@ -76,7 +76,7 @@
             self.address,
             'GET',
             '/healthz',
-            patience=PROBE_TIMEOUT_SECONDS,
+            timeout=PROBE_TIMEOUT_SECONDS,
         )
         return not isinstance(called, Err) and called.ok_value.is_good
 
@@ -87,7 +87,7 @@
             self.address,
             'GET',
             '/v1/models',
-            patience=PROBE_TIMEOUT_SECONDS,
+            timeout=PROBE_TIMEOUT_SECONDS,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             return False
--- a/src/wigeonpier/membership/exchange.py
+++ b/src/wigeonpier/membership/exchange.py
@@ -41,7 +41,7 @@
         'POST',
         EXCHANGE_PATH,
         msgspec.json.encode(suspicions.describe()),
-        patience=TIMEOUT_SECONDS,
+        timeout=TIMEOUT_SECONDS,
     )
     if not isinstance(called, Err) and called.ok_value.is_good:
         suspicions.merge(called.ok_value.decode(SuspicionUpdate))
--- a/src/wigeonpier/membership/reporter.py
+++ b/src/wigeonpier/membership/reporter.py
@@ -146,7 +146,7 @@
             'POST',
             HEARTBEAT_PATH,
             msgspec.json.encode(heartbeat),
-            patience=TIMEOUT_SECONDS,
+            timeout=TIMEOUT_SECONDS,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             log_event(Event.heartbeat_failed, entry=target)
--- a/src/wigeonpier/platform/gateway.py
+++ b/src/wigeonpier/platform/gateway.py
@@ -174,7 +174,7 @@
             'POST',
             '/v3/watch',
             msgspec.json.encode({'create_request': create}),
-            patience=WATCH_SECONDS,
+            timeout=WATCH_SECONDS,
         )
         if isinstance(opened, Err):
             return
@@ -192,7 +192,7 @@
             self._address,
             'GET',
             '/vms',
-            patience=CALL_SECONDS,
+            timeout=CALL_SECONDS,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             return Err(Failure.unavailable)
@@ -225,7 +225,7 @@
             'POST',
             path,
             msgspec.json.encode(body),
-            patience=CALL_SECONDS,
+            timeout=CALL_SECONDS,
         )
         failure = _find_failure(called, failure_if_lost)
         if failure is None:
--- a/src/wigeonpier/web/client.py
+++ b/src/wigeonpier/web/client.py
@@ -127,7 +127,7 @@
         body: bytes = b'',
         *,
         headers: dict[str, str] | None = None,
-        patience: float = 5,
+        timeout: float = 5,
     ) -> Result[StreamReply, CallFailure]:
         """Send a request once and read the head of the response.
 
@@ -136,11 +136,11 @@
         :param path: path with query.
         :param body: request body.
         :param headers: additional headers.
-        :param patience: network timeout, seconds.
+        :param timeout: network timeout, seconds.
         :returns: the response; ``not_sent`` only if the connection was
             refused.
         """
-        client = self._get_client(address, patience)
+        client = self._get_client(address, timeout)
         try:
             response = client.request(
                 method,
@@ -162,7 +162,7 @@
         body: bytes = b'',
         *,
         headers: dict[str, str] | None = None,
-        patience: float = 5,
+        timeout: float = 5,
     ) -> Result[Reply, CallFailure]:
         """Send a request once and read the complete response.
 
@@ -171,7 +171,7 @@
         :param path: path with query.
         :param body: request body.
         :param headers: additional headers.
-        :param patience: network timeout, seconds.
+        :param timeout: network timeout, seconds.
         :returns: the response.
         """
         opened = self.open(
@@ -180,7 +180,7 @@
             path,
             body,
             headers=headers,
-            patience=patience,
+            timeout=timeout,
         )
         if isinstance(opened, Err):
             return opened
@@ -206,8 +206,8 @@
         self.bytes_moved += stream.head_size + len(sent) + len(reply.body)
         return reply
 
-    def _get_client(self, address: str, patience: float) -> HTTPClient:
-        key = (address, patience)
+    def _get_client(self, address: str, timeout: float) -> HTTPClient:
+        key = (address, timeout)
         client = self._clients.get(key)
         if client is None:
             host, _, port = address.rpartition(':')
@@ -215,7 +215,7 @@
                 host,
                 int(port),
                 connection_timeout=CONNECT_SECONDS,
-                network_timeout=patience,
+                network_timeout=timeout,
                 concurrency=MAX_CONNECTIONS,
             )
             # The library resends some methods after a lost connection. This
--- a/tests/bench/test_engine.py
+++ b/tests/bench/test_engine.py
@@ -56,7 +56,7 @@
         '/v1/chat/completions',
         msgspec.json.encode(make_chat(MODEL, prompt, length)),
         headers=sent,
-        patience=30,
+        timeout=30,
     )
     return msgspec.json.decode(called.unwrap().body)
 
--- a/tests/features/steps/configuration_steps.py
+++ b/tests/features/steps/configuration_steps.py
@@ -219,7 +219,7 @@
         'POST',
         '/admin/v1/configuration',
         msgspec.json.encode(change),
-        patience=20,
+        timeout=20,
     ).unwrap()
 
 
--- a/tests/web/test_client.py
+++ b/tests/web/test_client.py
@@ -41,10 +41,10 @@
     server = serve(answer)
     client = HttpClient()
     for _ in range(3):
-        slow = client.call(server.address, 'POST', '/slow', patience=0.2)
+        slow = client.call(server.address, 'POST', '/slow', timeout=0.2)
         assert slow == Err(CallFailure.lost)
         for _ in range(5):
-            quick = client.call(server.address, 'POST', '/quick', patience=0.2)
+            quick = client.call(server.address, 'POST', '/quick', timeout=0.2)
             assert quick.unwrap().body == b'/quick'
             gevent.sleep(0.1)
 
