--- a/src/wigeonpier/hosted/sender.py
+++ b/src/wigeonpier/hosted/sender.py
@@ -25,7 +25,7 @@
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.web.exchange import make_request
-from wigeonpier.web.pool import LONGEST_IDLE_SECONDS
+from wigeonpier.web.pool import MAX_IDLE_SECONDS
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.binder import SlotBinder
@@ -171,7 +171,7 @@
             request.seconds_left,
             LAST_ATTEMPT_MAX_IDLE_SECONDS
             if request.is_last_attempt
-            else LONGEST_IDLE_SECONDS,
+            else MAX_IDLE_SECONDS,
         )
         if isinstance(opened, Err):
             return Err(SendFailure.no_connection)
--- a/src/wigeonpier/web/pool.py
+++ b/src/wigeonpier/web/pool.py
@@ -33,7 +33,7 @@
 UNACKNOWLEDGED_TIMEOUT_MS = 2500
 # Upstreams close idle connections; connections that were idle longer than
 # this are not reused.
-LONGEST_IDLE_SECONDS = 4.0
+MAX_IDLE_SECONDS = 4.0
 MAX_IDLE_CONNECTIONS = 32
 # A peer that dropped an idle connection drops others as well. Connections to
 # it are reused only up to this share of the idle time at which it did.
@@ -110,7 +110,7 @@
         self,
         address: str,
         timeout: float,
-        max_idle_seconds: float = LONGEST_IDLE_SECONDS,
+        max_idle_seconds: float = MAX_IDLE_SECONDS,
     ) -> Result[Exchange, CallFailure]:
         """Reuse or open a connection without sending anything.
 
@@ -222,10 +222,10 @@
     def _get_max_idle(self, address: str) -> float:
         idle_limit = self._idle_limits.get(address)
         if idle_limit is None:
-            return LONGEST_IDLE_SECONDS
+            return MAX_IDLE_SECONDS
         if idle_limit.until < time.monotonic():
             self._idle_limits.pop(address)
-            return LONGEST_IDLE_SECONDS
+            return MAX_IDLE_SECONDS
         return idle_limit.max_idle_seconds
 
     def _take_idle(
