--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -32,10 +32,10 @@
 from wigeonpier.web.messages import EVENT_STREAM_TYPE, ErrorPage, Response
 from wigeonpier.web.sse import (
     Whole,
-    assemble,
     continue_body,
     is_end_line,
     is_text_line,
+    join_chunks,
 )
 
 if TYPE_CHECKING:
@@ -362,7 +362,7 @@
     ) -> tuple[UpstreamState, StreamReply]:
         record_outcome(state, went_well=False, now=self.directory.clock())
         pending.compute_fingerprint()
-        delivered = assemble(sent)
+        delivered = join_chunks(sent)
         body = continue_body(
             pending.body,
             delivered.text,
--- a/src/wigeonpier/web/sse.py
+++ b/src/wigeonpier/web/sse.py
@@ -150,7 +150,7 @@
     return line.startswith(DATA_PREFIX + END_MARK)
 
 
-def assemble(lines: Iterable[bytes]) -> Assembler:
+def join_chunks(lines: Iterable[bytes]) -> Assembler:
     """Join the chunks of recorded lines.
 
     :param lines: lines of a stream in order.
