--- a/src/wigeonpier/entry/forward.py
+++ b/src/wigeonpier/entry/forward.py
@@ -31,7 +31,7 @@
 from wigeonpier.web.client import CallFailure, round_timeout
 from wigeonpier.web.messages import EVENT_STREAM_TYPE, ErrorPage, Response
 from wigeonpier.web.sse import (
-    Whole,
+    Completion,
     continue_body,
     is_end_line,
     is_text_line,
@@ -447,7 +447,7 @@
     if not pending.criteria.model:
         return 0
     try:
-        answer = msgspec.json.decode(body, type=Whole)
+        answer = msgspec.json.decode(body, type=Completion)
     except msgspec.DecodeError:
         return 0
     return answer.usage.completion_tokens
--- a/src/wigeonpier/local/engine.py
+++ b/src/wigeonpier/local/engine.py
@@ -16,7 +16,7 @@
 from wigeonpier.web import headers
 from wigeonpier.web.client import CallFailure
 from wigeonpier.web.messages import EVENT_STREAM_TYPE, JSON_TYPE
-from wigeonpier.web.sse import CHAT, TEXT, Assembler, Whole, continue_body
+from wigeonpier.web.sse import CHAT, TEXT, Assembler, Completion, continue_body
 
 if TYPE_CHECKING:
     from wigeonpier.local.gate import Gate
@@ -73,7 +73,7 @@
     is_paused: bool = False
     code: int = 0
     answer: bytes = b''
-    usage: Whole = field(default_factory=Whole)
+    usage: Completion = field(default_factory=Completion)
 
 
 @dataclass(frozen=True, slots=True)
@@ -215,7 +215,7 @@
             return RunEnd.stopped if run.is_paused else RunEnd.lost
         run.answer = msgspec.json.encode(run.assembler.make_body())
         if run.assembler.usage:
-            run.usage = Whole(run.assembler.usage)
+            run.usage = Completion(run.assembler.usage)
         return RunEnd.answered
 
 
@@ -241,5 +241,5 @@
     if reply.status >= SERVER_ERROR:
         return RunEnd.failed
     if reply.status < FIRST_ERROR_STATUS and run.is_stream:
-        run.usage = msgspec.json.decode(run.answer, type=Whole)
+        run.usage = msgspec.json.decode(run.answer, type=Completion)
     return RunEnd.answered
--- a/src/wigeonpier/web/sse.py
+++ b/src/wigeonpier/web/sse.py
@@ -49,7 +49,7 @@
     usage: TokenUsage | None = None
 
 
-class Whole(msgspec.Struct):
+class Completion(msgspec.Struct):
     """A completion that is not streamed; only its usage is decoded.
 
     :param usage: token counts.
