--- a/src/wigeonpier/web/filters.py
+++ b/src/wigeonpier/web/filters.py
@@ -42,15 +42,15 @@
     :returns: the filter.
     """
 
-    def trace(request: Request, following: Handler) -> Response:
+    def trace(request: Request, next_handler: Handler) -> Response:
         if request.path.startswith(CONTROL_PATHS):
-            return following(request)
+            return next_handler(request)
         span = start_span(process, request.headers.get(HEADER))
         request.span = span
         request.identity = (
             request.headers.get(headers.REQUEST_ID) or make_identity()
         )
-        response = following(request)
+        response = next_handler(request)
         response.headers[headers.REQUEST_ID] = request.identity
         metrics.count('answers_total', status=str(response.status))
         span.fields.update(
@@ -65,16 +65,16 @@
     return trace
 
 
-def answer_errors(request: Request, following: Handler) -> Response:
+def answer_errors(request: Request, next_handler: Handler) -> Response:
     """Convert refusals and unexpected exceptions into responses.
 
     :param request: the request.
-    :param following: the next handler.
+    :param next_handler: the next handler.
     :returns: the response.
     :raises InvariantError: if an invariant does not hold.
     """
     try:
-        return following(request)
+        return next_handler(request)
     except Refusal as refusal:
         return answer_refusal(refusal)
     except InvariantError:
@@ -98,9 +98,9 @@
     :returns: the filter.
     """
 
-    def set_limit(request: Request, following: Handler) -> Response:
+    def set_limit(request: Request, next_handler: Handler) -> Response:
         request.body_limit = limit
-        return following(request)
+        return next_handler(request)
 
     return set_limit
 
@@ -116,7 +116,7 @@
     :returns: the filter.
     """
 
-    def check(request: Request, following: Handler) -> Response:
+    def check(request: Request, next_handler: Handler) -> Response:
         if request.path.startswith(prefixes):
             received_key = request.headers.get(headers.PEER_KEY, '')
             if not any(hmac.compare_digest(received_key, key) for key in keys):
@@ -124,7 +124,7 @@
                     ErrorKind.unauthenticated,
                     f'{headers.PEER_KEY} does not hold a peer key in force',
                 )
-        return following(request)
+        return next_handler(request)
 
     return check
 
--- a/src/wigeonpier/web/server.py
+++ b/src/wigeonpier/web/server.py
@@ -239,8 +239,8 @@
     """Do nothing; the caller still counts the request as in flight."""
 
 
-def _wrap_handler(current: Filter, following: Handler) -> Handler:
-    return lambda request: current(request, following)
+def _wrap_handler(current: Filter, next_handler: Handler) -> Handler:
+    return lambda request: current(request, next_handler)
 
 
 def _open_listener(host: str, port: int) -> Any:
