--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Workshop:
+class ChunkContext:
     """Services and limits that owners of chunks share.
 
     :param platform: port to the key-value service.
@@ -111,7 +111,7 @@
     :param move_lock: held while the journal moves to other folders.
     """
 
-    context: Workshop
+    context: ChunkContext
     job: Job
     index: int
     claim: Claim
@@ -397,7 +397,7 @@
 
 
 def choose_folders(
-    context: Workshop,
+    context: ChunkContext,
     key: str,
     lost: frozenset[str],
 ) -> tuple[str, ...]:
--- a/src/wigeonpier/batch/takeover.py
+++ b/src/wigeonpier/batch/takeover.py
@@ -7,9 +7,9 @@
 
 from wigeonpier.batch.chunk import (
     Chunk,
+    ChunkContext,
     ChunkProblemError,
     Item,
-    Workshop,
     choose_folders,
     draw_token,
     write_claim,
@@ -31,7 +31,7 @@
 
 
 def claim_chunk(
-    context: Workshop,
+    context: ChunkContext,
     job: Job,
     index: int,
     previous: Claim | None,
@@ -70,7 +70,7 @@
 
 
 def open_chunk(
-    context: Workshop,
+    context: ChunkContext,
     job: Job,
     index: int,
     claim: Claim,
@@ -115,7 +115,7 @@
 
 
 def _read_items(
-    context: Workshop,
+    context: ChunkContext,
     job: Job,
     index: int,
 ) -> list[Item]:
@@ -137,7 +137,7 @@
 
 
 def _read_ledgers(
-    context: Workshop,
+    context: ChunkContext,
     job: Job,
     index: int,
     claim: Claim,
@@ -161,7 +161,7 @@
 
 
 def _read_segment(
-    context: Workshop,
+    context: ChunkContext,
     job: Job,
     index: int,
     claim: Claim,
--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from wigeonpier.batch.chunk import Workshop
+from wigeonpier.batch.chunk import ChunkContext
 from wigeonpier.disk.client import read_first
 from wigeonpier.entry.accounts import KeyRing
 from wigeonpier.entry.admin import AdminHandler
@@ -330,9 +330,9 @@
     components: Components,
     disks: DiskClient,
     directory: Directory,
-) -> Workshop:
+) -> ChunkContext:
     batch = components.holder.deployment.batch
-    return Workshop(
+    return ChunkContext(
         platform=components.platform,
         disks=disks,
         list_disks=directory.list_disks,
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -13,8 +13,8 @@
 
 from wigeonpier.batch.chunk import (
     Chunk,
+    ChunkContext,
     ChunkProblemError,
-    Workshop,
     make_error,
 )
 from wigeonpier.batch.claims import Claim, Tally, add_tallies
@@ -63,14 +63,14 @@
     :param board: jobs and claims.
     :param directory: live entries and data folders.
     :param disks: reaches data folders.
-    :param workshop: returns what owners of chunks use now.
+    :param context: returns what owners of chunks use now.
     :param address: address of this entry.
     """
 
     board: JobBoard
     directory: Directory
     disks: DiskClient
-    workshop: Callable[[], Workshop]
+    context: Callable[[], ChunkContext]
     address: str
     _first_seen: dict[str, float] = field(default_factory=dict)
     _handling: set[str] = field(default_factory=set)
@@ -111,7 +111,7 @@
         return time.monotonic() - first_seen > STANDBY_SECONDS
 
     def _finish_cancelled(self, cached: CachedJob) -> None:
-        platform = self.workshop().platform
+        platform = self.context().platform
         listed = platform.list_prefix(keys.name_claims(cached.job.id))
         if isinstance(listed, Err):
             return
@@ -138,11 +138,11 @@
         """Fence the owner and write a result for each open item."""
         if claim.is_done:
             return claim
-        workshop = self.workshop()
+        context = self.context()
         own_claim, own_revision = claim_chunk(
-            workshop, cached.job, index, claim, revision
+            context, cached.job, index, claim, revision
         )
-        chunk = open_chunk(workshop, cached.job, index, own_claim, own_revision)
+        chunk = open_chunk(context, cached.job, index, own_claim, own_revision)
         with closing(chunk.journal):
             _cancel_items(chunk)
             finished = chunk.finish()
@@ -180,7 +180,7 @@
         )
         raw = msgspec.json.encode(finished)
         written = swap_certainly(
-            self.workshop().platform,
+            self.context().platform,
             keys.name_results(job.customer, job.id),
             raw,
             0,
@@ -217,7 +217,7 @@
         again, and all items would run a second time.  The claims are deleted
         last, since a job without claims looks as if no item had run.
         """
-        platform = self.workshop().platform
+        platform = self.context().platform
         job = cached.job
         written = platform.swap(
             keys.name_job(job.customer, job.id),
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from wigeonpier.batch.chunk import Workshop
+from wigeonpier.batch.chunk import ChunkContext
 from wigeonpier.local.chunks import OwnedChunks
 from wigeonpier.local.engine import Engine
 from wigeonpier.local.gate import Gate
@@ -119,7 +119,7 @@
             self.gate.kind = service.gate
             self.gate.batch_streams = service.batch_streams
         batch = deployment.batch
-        self.worker.stock.context = Workshop(
+        self.worker.stock.context = ChunkContext(
             platform=self.components.platform,
             disks=self.worker.stock.context.disks,
             list_disks=self.worker.stock.context.list_disks,
@@ -231,7 +231,7 @@
 
 def _make_chunk_context(
     components: Components, heartbeat_sender: HeartbeatSender
-) -> Workshop:
+) -> ChunkContext:
     def list_disks() -> list[Disk]:
         return [
             Disk(
@@ -243,7 +243,7 @@
             for report in heartbeat_sender.peers.disks.values()
         ]
 
-    return Workshop(
+    return ChunkContext(
         platform=components.platform,
         disks=make_disk_client(
             components.client,
--- a/src/wigeonpier/local/chunks.py
+++ b/src/wigeonpier/local/chunks.py
@@ -9,7 +9,7 @@
 import msgspec
 from result import Err, Ok
 
-from wigeonpier.batch.chunk import Chunk, ChunkProblemError, Workshop
+from wigeonpier.batch.chunk import Chunk, ChunkContext, ChunkProblemError
 from wigeonpier.batch.journal import JournalEnd, JournalEndedError
 from wigeonpier.batch.models import ENDED, Job, JobStatus
 from wigeonpier.batch.takeover import claim_chunk, open_chunk
@@ -52,7 +52,7 @@
     :param on_drop: called with a chunk whose runs have to stop.
     """
 
-    context: Workshop
+    context: ChunkContext
     chunks: dict[ChunkKey, Chunk] = field(default_factory=dict)
     claiming: set[ChunkKey] = field(default_factory=set)
     cancelled_jobs: set[str] = field(default_factory=set)
--- a/tests/batch/test_takeover_machine.py
+++ b/tests/batch/test_takeover_machine.py
@@ -24,8 +24,8 @@
 from wigeonpier.batch import journal as journal_module
 from wigeonpier.batch.chunk import (
     Chunk,
+    ChunkContext,
     ChunkProblemError,
-    Workshop,
     make_error,
 )
 from wigeonpier.batch.claims import Claim
@@ -173,7 +173,7 @@
     @rule()
     def claim(self) -> None:
         """A new owner claims the chunk."""
-        workshop = Workshop(
+        context = ChunkContext(
             platform=self.platform,
             disks=self.disks,
             list_disks=self.disks.list_disks,
@@ -189,13 +189,13 @@
             return
         try:
             claim, revision = claim_chunk(
-                workshop,
+                context,
                 self.job,
                 0,
                 known,
                 entry.revision if entry else 0,
             )
-            chunk = open_chunk(workshop, self.job, 0, claim, revision)
+            chunk = open_chunk(context, self.job, 0, claim, revision)
         except (ChunkProblemError, JournalEndedError):
             return
         self._record_settled(chunk)
