--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -51,7 +51,7 @@
 ItemRecord = Begin | Release | Failure | Outcome
 
 
-class ChunkProblemError(Exception):
+class ChunkError(Exception):
     """A chunk that cannot be processed now; a later attempt may succeed."""
 
 
@@ -263,7 +263,7 @@
             move_journal(self, lost)
         except JournalEndedError as error:
             return error.lost
-        except ChunkProblemError as problem:
+        except ChunkError as problem:
             log_event(
                 Event.chunk_failed,
                 chunk=self.name,
@@ -326,7 +326,7 @@
 
     :param chunk: the chunk; none of its records is written meanwhile.
     :param lost: incarnations of the folders that failed.
-    :raises ChunkProblemError: when that is not possible now.
+    :raises ChunkError: when that is not possible now.
     """
     context = chunk.context
     log_event(Event.copy_lost, chunk=chunk.name, copies=sorted(lost))
@@ -341,9 +341,7 @@
     written = chunk.write_claim(claim)
     if isinstance(written, Err):
         chunk.is_lost = written.err_value is PlatformFailure.conflict
-        raise ChunkProblemError(
-            f'the claim was not written: {written.err_value}'
-        )
+        raise ChunkError(f'the claim was not written: {written.err_value}')
     journal = JournalWriter(
         context.disks,
         (chunk.job.id, chunk.index, fence),
@@ -407,7 +405,7 @@
     :param key: key by which the choice is spread over the folders.
     :param lost: incarnations of folders that have just failed.
     :returns: incarnations of the chosen folders.
-    :raises ChunkProblemError: when too few folders are available.
+    :raises ChunkError: when too few folders are available.
     """
     disks = context.list_disks()
     # A folder that has just failed may work again: if there are no others,
@@ -420,7 +418,7 @@
         chosen = choose_copies(disks, key, context.copies, avoided)
         if len(chosen) >= context.least_copies:
             return tuple(disk.incarnation for disk in chosen)
-    raise ChunkProblemError('too few data folders')
+    raise ChunkError('too few data folders')
 
 
 def write_snapshots(journal: JournalWriter, ledgers: list[Ledger]) -> None:
--- a/src/wigeonpier/batch/takeover.py
+++ b/src/wigeonpier/batch/takeover.py
@@ -8,7 +8,7 @@
 from wigeonpier.batch.chunk import (
     Chunk,
     ChunkContext,
-    ChunkProblemError,
+    ChunkError,
     Item,
     choose_folders,
     draw_token,
@@ -45,7 +45,7 @@
     :param previous: the claim to replace, ``None`` if there is none.
     :param revision: its revision, 0 if there is none.
     :returns: the new claim and its revision.
-    :raises ChunkProblemError: when another owner claimed it first, or there
+    :raises ChunkError: when another owner claimed it first, or there
         are too few data folders.
     """
     fence = previous.fence + 1 if previous else 1
@@ -61,9 +61,7 @@
     )
     written = write_claim(context.platform, job.id, index, claim, revision)
     if isinstance(written, Err):
-        raise ChunkProblemError(
-            f'the claim was not written: {written.err_value}'
-        )
+        raise ChunkError(f'the claim was not written: {written.err_value}')
     event = Event.chunk_taken_over if previous else Event.chunk_claimed
     log_event(event, job=job.id, chunk=index, fence=fence)
     return claim, written.ok_value
@@ -84,7 +82,7 @@
     :param claim: this process's claim.
     :param revision: its revision.
     :returns: the chunk, ready to run.
-    :raises ChunkProblemError: when the input or an older segment cannot be
+    :raises ChunkError: when the input or an older segment cannot be
         read now.
     :raises JournalEndedError: when a newer owner has claimed it.
     """
@@ -124,7 +122,7 @@
         lambda copy: context.disks.read_page(copy, job.file, index),
     )
     if page is None:
-        raise ChunkProblemError('no copy of the input page can be read')
+        raise ChunkError('no copy of the input page can be read')
     lines = [msgspec.json.decode(line, type=Line) for line in page.splitlines()]
     return [
         Item(
@@ -194,4 +192,4 @@
         )
     if all(map(context.is_gone, segment.copies)):
         return None
-    raise ChunkProblemError('no copy of an older segment can be read')
+    raise ChunkError('no copy of an older segment can be read')
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -14,7 +14,7 @@
 from wigeonpier.batch.chunk import (
     Chunk,
     ChunkContext,
-    ChunkProblemError,
+    ChunkError,
     make_error,
 )
 from wigeonpier.batch.claims import Claim, Tally, add_tallies
@@ -94,7 +94,7 @@
                     self._finish_cancelled(cached)
             elif cached.is_all_done and self._is_responsible(cached.job.id):
                 self._finish(cached, JobStatus.completed)
-        except (ChunkProblemError, JournalEndedError) as problem:
+        except (ChunkError, JournalEndedError) as problem:
             log_event(
                 Event.chunk_failed,
                 job=cached.job.id,
@@ -147,7 +147,7 @@
             _cancel_items(chunk)
             finished = chunk.finish()
         if isinstance(finished, Err):
-            raise ChunkProblemError('the cancelled chunk was not written')
+            raise ChunkError('the cancelled chunk was not written')
         return chunk.claim
 
     def _finish(self, cached: CachedJob, status: JobStatus) -> None:
--- a/src/wigeonpier/local/chunks.py
+++ b/src/wigeonpier/local/chunks.py
@@ -9,7 +9,7 @@
 import msgspec
 from result import Err, Ok
 
-from wigeonpier.batch.chunk import Chunk, ChunkContext, ChunkProblemError
+from wigeonpier.batch.chunk import Chunk, ChunkContext, ChunkError
 from wigeonpier.batch.journal import JournalEnd, JournalEndedError
 from wigeonpier.batch.models import ENDED, Job, JobStatus
 from wigeonpier.batch.takeover import claim_chunk, open_chunk
@@ -145,7 +145,7 @@
     def _claim(self, offer: Offer) -> None:
         try:
             self._claim_or_fail(offer)
-        except (ChunkProblemError, JournalEndedError) as problem:
+        except (ChunkError, JournalEndedError) as problem:
             log_event(
                 Event.chunk_not_opened,
                 job=offer.job.id,
@@ -184,12 +184,12 @@
         platform = self.context.platform
         read = platform.get(name_job(job.customer, job.id))
         if isinstance(read, Err):
-            raise ChunkProblemError('the job cannot be read')
+            raise ChunkError('the job cannot be read')
         status = _read_status(read.ok_value)
         if status in ENDED:
             platform.swap(name_chunk(job.id, index), None, revision)
         if status is not JobStatus.in_progress:
-            raise ChunkProblemError(f'the job is {status}')
+            raise ChunkError(f'the job is {status}')
 
     def _watch_journal(self, chunk: Chunk) -> None:
         """Drop a chunk as soon as a newer owner has claimed it."""
--- a/tests/batch/test_takeover_machine.py
+++ b/tests/batch/test_takeover_machine.py
@@ -25,7 +25,7 @@
 from wigeonpier.batch.chunk import (
     Chunk,
     ChunkContext,
-    ChunkProblemError,
+    ChunkError,
     make_error,
 )
 from wigeonpier.batch.claims import Claim
@@ -196,7 +196,7 @@
                 entry.revision if entry else 0,
             )
             chunk = open_chunk(context, self.job, 0, claim, revision)
-        except (ChunkProblemError, JournalEndedError):
+        except (ChunkError, JournalEndedError):
             return
         self._record_settled(chunk)
         self.owners.append(chunk)
