--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -200,7 +200,7 @@
         )
         done = msgspec.structs.replace(
             self.claim,
-            token=draw_token(),
+            token=make_token(),
             segments=self.claim.segments[-1:],
             is_done=True,
             tally=count_outcomes(self.ledgers),
@@ -215,7 +215,7 @@
         released = msgspec.structs.replace(
             self.claim,
             owner='',
-            token=draw_token(),
+            token=make_token(),
         )
         self.write_claim(released)
         self.journal.close()
@@ -334,7 +334,7 @@
     copies = choose_folders(context, chunk.name, lost)
     claim = msgspec.structs.replace(
         chunk.claim,
-        token=draw_token(),
+        token=make_token(),
         fence=fence,
         segments=(*chunk.claim.segments, Segment(fence, copies)),
     )
@@ -386,7 +386,7 @@
     )
 
 
-def draw_token() -> str:
+def make_token() -> str:
     """Generate a random token that identifies one write of a claim.
 
     :returns: hexadecimal digits.
--- a/src/wigeonpier/batch/takeover.py
+++ b/src/wigeonpier/batch/takeover.py
@@ -11,7 +11,7 @@
     ChunkError,
     Item,
     choose_folders,
-    draw_token,
+    make_token,
     write_claim,
     write_snapshots,
 )
@@ -52,7 +52,7 @@
     copies = choose_folders(context, f'{job.id}/{index}', frozenset())
     claim = Claim(
         owner=context.owner,
-        token=draw_token(),
+        token=make_token(),
         fence=fence,
         segments=(
             *(previous.segments if previous else ()),
--- a/src/wigeonpier/entry/copies.py
+++ b/src/wigeonpier/entry/copies.py
@@ -9,7 +9,7 @@
 import msgspec
 from result import Err, Ok
 
-from wigeonpier.batch.chunk import draw_token
+from wigeonpier.batch.chunk import make_token
 from wigeonpier.batch.claims import Claim, Segment
 from wigeonpier.batch.models import DoneChunk, FileRecord, FinishedJob, Job
 from wigeonpier.disk.client import DiskClient, read_first
@@ -133,7 +133,7 @@
         segment = self._repair_segment(job, index, claim.segments[-1], gone)
         repaired = msgspec.structs.replace(
             claim,
-            token=draw_token(),
+            token=make_token(),
             segments=(segment,),
         )
         return msgspec.json.encode(repaired)
