--- a/src/wigeonpier/batch/results.py
+++ b/src/wigeonpier/batch/results.py
@@ -84,7 +84,7 @@
         yield read_page(copies, disks, file_id, index)
 
 
-def name_kept_results(job: str) -> str:
+def name_stored_results(job: str) -> str:
     """Name the file that stores the record of a finished job on disks.
 
     :param job: id of the job.
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -25,7 +25,7 @@
     JobStatus,
     mark_ended,
 )
-from wigeonpier.batch.results import name_kept_results
+from wigeonpier.batch.results import name_stored_results
 from wigeonpier.batch.takeover import claim_chunk, open_chunk
 from wigeonpier.disk.client import write_all_copies
 from wigeonpier.invariants import Invariant, check_invariant
@@ -203,7 +203,7 @@
             list(job.copies),
             lambda copy: self.disks.write_page(
                 copy,
-                name_kept_results(job.id),
+                name_stored_results(job.id),
                 0,
                 raw,
             ),
--- a/src/wigeonpier/entry/jobs.py
+++ b/src/wigeonpier/entry/jobs.py
@@ -23,7 +23,7 @@
     Resend,
 )
 from wigeonpier.batch.pages import show_finished, show_job
-from wigeonpier.batch.results import name_kept_results
+from wigeonpier.batch.results import name_stored_results
 from wigeonpier.entry.uploads import find_service
 from wigeonpier.errors import ErrorKind, Ran, Refusal
 from wigeonpier.platform import keys
@@ -211,7 +211,7 @@
         self, customer: str, job_id: str
     ) -> FinishedJob | None:
         """Read the copy in the data folders while the service is down."""
-        raw = self.read_on_disks(name_kept_results(job_id))
+        raw = self.read_on_disks(name_stored_results(job_id))
         if raw is None:
             raise refuse_platform()
         finished = msgspec.json.decode(raw, type=FinishedJob)
