--- a/src/wigeonpier/batch/models.py
+++ b/src/wigeonpier/batch/models.py
@@ -123,7 +123,7 @@
         return sum(self.pages)
 
 
-ENDED = frozenset((JobStatus.completed, JobStatus.cancelled))
+FINISHED_STATUSES = frozenset((JobStatus.completed, JobStatus.cancelled))
 
 
 def mark_ended(job: Job) -> Job:
--- a/src/wigeonpier/entry/board.py
+++ b/src/wigeonpier/entry/board.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from wigeonpier.batch.claims import Claim
-from wigeonpier.batch.models import ENDED, Job, JobStatus
+from wigeonpier.batch.models import FINISHED_STATUSES, Job, JobStatus
 from wigeonpier.membership.messages import Heartbeat, Offer
 from wigeonpier.platform.keys import JOBS, parse_chunk
 from wigeonpier.policy.schedule import JobView, order_jobs
@@ -118,7 +118,7 @@
         job = None
         if change.value is not None:
             job = msgspec.json.decode(change.value, type=Job)
-        if job is None or job.status in ENDED:
+        if job is None or job.status in FINISHED_STATUSES:
             self.jobs.pop(job_id, None)
             return
         cached = self.jobs.get(job_id)
--- a/src/wigeonpier/entry/jobs.py
+++ b/src/wigeonpier/entry/jobs.py
@@ -13,7 +13,7 @@
 from result import Err, Ok
 
 from wigeonpier.batch.models import (
-    ENDED,
+    FINISHED_STATUSES,
     BatchPage,
     BatchRequest,
     FileRecord,
@@ -153,7 +153,7 @@
             if entry is None:
                 return self.show(customer, job_id)
             job = msgspec.json.decode(entry.value, type=Job)
-            if job.status in ENDED:
+            if job.status in FINISHED_STATUSES:
                 return self.show(customer, job_id)
             if job.status is JobStatus.cancelling:
                 return self._show_unfinished(job)
@@ -226,7 +226,7 @@
         read = self.platform.get(keys.name_job(customer, job_id))
         if isinstance(read, Ok) and read.ok_value is not None:
             job = msgspec.json.decode(read.ok_value.value, type=Job)
-            if job.status not in ENDED:
+            if job.status not in FINISHED_STATUSES:
                 return self._show_unfinished(job)
         finished = self.read_finished(customer, job_id)
         return show_finished(finished) if finished else None
--- a/src/wigeonpier/local/chunks.py
+++ b/src/wigeonpier/local/chunks.py
@@ -11,7 +11,7 @@
 
 from wigeonpier.batch.chunk import Chunk, ChunkContext, ChunkError
 from wigeonpier.batch.journal import JournalEnd, JournalEndedError
-from wigeonpier.batch.models import ENDED, Job, JobStatus
+from wigeonpier.batch.models import FINISHED_STATUSES, Job, JobStatus
 from wigeonpier.batch.takeover import claim_chunk, open_chunk
 from wigeonpier.platform.keys import name_chunk, name_job
 from wigeonpier.platform.port import Failure as PlatformFailure
@@ -186,7 +186,7 @@
         if isinstance(read, Err):
             raise ChunkError('the job cannot be read')
         status = _read_status(read.ok_value)
-        if status in ENDED:
+        if status in FINISHED_STATUSES:
             platform.swap(name_chunk(job.id, index), None, revision)
         if status is not JobStatus.in_progress:
             raise ChunkError(f'the job is {status}')
