--- a/src/wigeonpier/batch/models.py
+++ b/src/wigeonpier/batch/models.py
@@ -126,7 +126,7 @@
 FINISHED_STATUSES = frozenset((JobStatus.completed, JobStatus.cancelled))
 
 
-def mark_ended(job: Job) -> Job:
+def make_finished_marker(job: Job) -> Job:
     """Build the small record that replaces a job once its results are stored.
 
     :param job: the job.
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -23,7 +23,7 @@
     DoneChunk,
     FinishedJob,
     JobStatus,
-    mark_ended,
+    make_finished_marker,
 )
 from wigeonpier.batch.results import name_stored_results
 from wigeonpier.batch.takeover import claim_chunk, open_chunk
@@ -221,7 +221,7 @@
         job = cached.job
         written = platform.swap(
             keys.name_job(job.customer, job.id),
-            msgspec.json.encode(mark_ended(job)),
+            msgspec.json.encode(make_finished_marker(job)),
             cached.revision,
         )
         if isinstance(written, Ok):
