--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -119,11 +119,11 @@
             self.gate.kind = service.gate
             self.gate.batch_streams = service.batch_streams
         batch = deployment.batch
-        self.worker.stock.context = ChunkContext(
+        self.worker.owned_chunks.context = ChunkContext(
             platform=self.components.platform,
-            disks=self.worker.stock.context.disks,
-            list_disks=self.worker.stock.context.list_disks,
-            is_gone=self.worker.stock.context.is_gone,
+            disks=self.worker.owned_chunks.context.disks,
+            list_disks=self.worker.owned_chunks.context.list_disks,
+            is_gone=self.worker.owned_chunks.context.is_gone,
             owner=self.components.settings.name,
             copies=batch.copies,
             least_copies=batch.least_copies,
@@ -131,8 +131,8 @@
         )
 
     def _handle_reply(self, reply: HeartbeatReply) -> None:
-        self.worker.stock.claim_offers(reply.offers)
-        self.worker.stock.stop_jobs(reply.stopped)
+        self.worker.owned_chunks.claim_offers(reply.offers)
+        self.worker.owned_chunks.stop_jobs(reply.stopped)
         self.components.suspicions.merge(reply.suspicions)
 
 
@@ -282,7 +282,7 @@
         ),
         disk=components.report_disk(),
         wants=worker.count_wanted(),
-        held=worker.stock.list_owned_jobs(),
+        held=worker.owned_chunks.list_owned_jobs(),
         suspicions=components.suspicions.summarize(),
     )
 
--- a/src/wigeonpier/local/work.py
+++ b/src/wigeonpier/local/work.py
@@ -75,7 +75,7 @@
     :param gate: decides what may start.
     :param engine: runs items at the upstream.
     :param watch: monitors the health of the upstream.
-    :param stock: chunks that this process owns.
+    :param owned_chunks: chunks that this process owns.
     :param metrics: metrics of this process.
     :param on_queue_low: called when the last ready item of a chunk starts.
     """
@@ -83,7 +83,7 @@
     gate: Gate
     engine: Engine
     watch: UpstreamWatch
-    stock: OwnedChunks
+    owned_chunks: OwnedChunks
     metrics: Metrics
     on_queue_low: Callable[[], None] = _ignore_queue_low
     _paused: deque[ActiveItem] = field(default_factory=deque)
@@ -93,8 +93,8 @@
 
     def start(self) -> None:
         """Start running items."""
-        self.stock.on_ready = self.gate.room_event.set
-        self.stock.on_drop = self._stop_chunk
+        self.owned_chunks.on_ready = self.gate.room_event.set
+        self.owned_chunks.on_drop = self._stop_chunk
         spawn_loop('pump', self._start_items)
         spawn_loop('rate', self._measure_rate)
 
@@ -104,7 +104,7 @@
         :returns: number of items; 0 while the gate has no room, the upstream
             is unhealthy, or chunks are being claimed.
         """
-        if not self.stock.is_open or self.stock.claiming:
+        if not self.owned_chunks.is_open or self.owned_chunks.claiming:
             return 0
         if not self.watch.is_healthy or not self.gate.may_start_batch():
             return 0
@@ -114,7 +114,7 @@
             int(self._items_per_second * QUEUE_AHEAD_SECONDS),
             room,
         )
-        return max(0, wanted - self.stock.count_ready())
+        return max(0, wanted - self.owned_chunks.count_ready())
 
     def leave(self, seconds: float) -> int:
         """Release all chunks so that other processes can take them over.
@@ -124,13 +124,13 @@
         :param seconds: maximum time to wait.
         :returns: number of chunks that were not released in time.
         """
-        self.stock.is_open = False
-        chunks = list(self.stock.chunks.values())
+        self.owned_chunks.is_open = False
+        chunks = list(self.owned_chunks.chunks.values())
         gevent.joinall(
             [gevent.spawn(self._release_chunk, chunk) for chunk in chunks],
             timeout=seconds,
         )
-        return len(self.stock.chunks)
+        return len(self.owned_chunks.chunks)
 
     def _release_chunk(self, chunk: Chunk) -> None:
         chunk.ready.clear()
@@ -138,8 +138,8 @@
         self._stop_chunk(chunk, spare_run_once=True)
         while any(active.chunk is chunk for active in self._running):
             gevent.sleep(RELEASE_POLL_SECONDS)
-        if self.stock.owns(chunk):
-            self.stock.drop(chunk)
+        if self.owned_chunks.owns(chunk):
+            self.owned_chunks.drop(chunk)
             chunk.release_claim()
 
     def _stop_chunk(
@@ -169,7 +169,7 @@
             self.gate.add_batch(active.stream)
             active.resumed.set()
             return True
-        chunks = sorted(self.stock.chunks.values(), key=_rank_chunk)
+        chunks = sorted(self.owned_chunks.chunks.values(), key=_rank_chunk)
         return any(self._start_from_chunk(chunk) for chunk in chunks)
 
     def _start_from_chunk(self, chunk: Chunk) -> bool:
@@ -207,12 +207,14 @@
         except Exception:
             # The chunk would wait for this item forever, so another owner
             # has to take it over.
-            self.stock.release_after_fault(active.chunk, traceback.format_exc())
+            self.owned_chunks.release_after_fault(
+                active.chunk, traceback.format_exc()
+            )
         finally:
             self.gate.remove_batch(active.stream)
             self._running.discard(active)
         if not active.chunk.is_lost:
-            self.stock.finish_if_settled(active.chunk)
+            self.owned_chunks.finish_if_settled(active.chunk)
 
     def _run_item(self, active: ActiveItem, alone: bool) -> None:
         chunk = active.chunk
@@ -221,7 +223,7 @@
             # greenlet.
             return
         check_invariant(
-            chunk.job.id not in self.stock.cancelled_jobs,
+            chunk.job.id not in self.owned_chunks.cancelled_jobs,
             Invariant.cancelled_job_stops,
             f'{chunk.name} starts an item of a cancelled job',
         )
@@ -264,7 +266,7 @@
                 return RunEnd.stopped
 
     def _is_abandoned(self, active: ActiveItem) -> bool:
-        return active.chunk.is_lost or not self.stock.is_open
+        return active.chunk.is_lost or not self.owned_chunks.is_open
 
     def _record_end(
         self,
@@ -286,7 +288,7 @@
                 record_loss(chunk.ledgers[item.index])
         if end in {RunEnd.lost, RunEnd.not_run}:
             self.watch.is_healthy = False
-        if self.stock.is_open:
+        if self.owned_chunks.is_open:
             chunk.plan(item)
 
     def _make_failure_record(self, item: Item, run: Run) -> Failure | Release:
--- a/tests/features/steps/batch_steps.py
+++ b/tests/features/steps/batch_steps.py
@@ -99,7 +99,7 @@
     bench = context.bench
     name = wait_for(lambda: _find_busy_owner(bench))
     replica = bench.site.replicas[name]
-    chunks = list(replica.app.worker.stock.chunks.values())
+    chunks = list(replica.app.worker.owned_chunks.chunks.values())
     replica.faults.freeze()
     wait_for(lambda: all(_is_taken_over(bench, chunk) for chunk in chunks), 20)
     replica.faults.thaw()
@@ -417,7 +417,7 @@
 def _find_busy_owner(bench: Bench) -> str | None:
     for name, replica in bench.site.replicas.items():
         worker = replica.app.worker
-        if worker.stock.chunks and replica.app.gate.batch:
+        if worker.owned_chunks.chunks and replica.app.gate.batch:
             return name
     return None
 
