--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -20,7 +20,7 @@
     JournalWriter,
 )
 from wigeonpier.invariants import Invariant, check_invariant
-from wigeonpier.platform.certain import swap_certainly
+from wigeonpier.platform.certain import swap_confirmed
 from wigeonpier.platform.keys import name_chunk
 from wigeonpier.platform.port import Failure as PlatformFailure
 from wigeonpier.policy.attempts import (
@@ -309,7 +309,7 @@
     :param revision: revision that it replaces, 0 to create.
     :returns: its revision, or why it was not written.
     """
-    return swap_certainly(
+    return swap_confirmed(
         platform,
         name_chunk(job, index),
         msgspec.json.encode(claim),
--- a/src/wigeonpier/entry/configuration.py
+++ b/src/wigeonpier/entry/configuration.py
@@ -14,7 +14,7 @@
 from wigeonpier.entry.jobs import refuse_platform, refuse_write
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.platform import keys
-from wigeonpier.platform.certain import swap_certainly
+from wigeonpier.platform.certain import swap_confirmed
 from wigeonpier.platform.port import Entry, Failure, Platform
 from wigeonpier.settings.deployment import Bundle, make_effective
 from wigeonpier.settings.document import DocumentError
@@ -90,7 +90,7 @@
             self._check_edited_version(current, application)
             self._archive(current)
         raw = msgspec.json.encode(bundle)
-        written = swap_certainly(
+        written = swap_confirmed(
             self.platform,
             keys.CONFIGURATION,
             raw,
@@ -171,7 +171,7 @@
     def _archive(self, current: Entry) -> None:
         """Copy the current version to the history before it is replaced."""
         newest = msgspec.json.decode(current.value, type=Bundle)
-        written = swap_certainly(
+        written = swap_confirmed(
             self.platform,
             _name_history(newest.version),
             current.value,
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -31,7 +31,7 @@
 from wigeonpier.invariants import Invariant, check_invariant
 from wigeonpier.loops import spawn_loop
 from wigeonpier.platform import keys
-from wigeonpier.platform.certain import swap_certainly
+from wigeonpier.platform.certain import swap_confirmed
 from wigeonpier.platform.port import Failure
 from wigeonpier.policy.ranking import rank_by_key
 from wigeonpier.records import Status
@@ -179,7 +179,7 @@
             finished=int(time.time()),
         )
         raw = msgspec.json.encode(finished)
-        written = swap_certainly(
+        written = swap_confirmed(
             self.context().platform,
             keys.name_results(job.customer, job.id),
             raw,
--- a/src/wigeonpier/entry/jobs.py
+++ b/src/wigeonpier/entry/jobs.py
@@ -27,7 +27,7 @@
 from wigeonpier.entry.uploads import find_service
 from wigeonpier.errors import ErrorKind, Ran, Refusal
 from wigeonpier.platform import keys
-from wigeonpier.platform.certain import swap_certainly
+from wigeonpier.platform.certain import swap_confirmed
 from wigeonpier.platform.port import Entry, Failure, Platform
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -182,7 +182,7 @@
         :param record: the file; its pages are stored already.
         """
         raw = msgspec.json.encode(record)
-        written = swap_certainly(
+        written = swap_confirmed(
             self.platform,
             keys.name_file(record.customer, record.id),
             raw,
@@ -255,7 +255,7 @@
             return _check_same_digest(existing, digest)
         resend = _make_resend(digest)
         raw = msgspec.json.encode(resend)
-        written = swap_certainly(
+        written = swap_confirmed(
             self.platform,
             key,
             raw,
@@ -291,7 +291,7 @@
 
     def _write_job(self, job: Job) -> BatchPage:
         raw = msgspec.json.encode(job)
-        written = swap_certainly(
+        written = swap_confirmed(
             self.platform,
             keys.name_job(job.customer, job.id),
             raw,
@@ -314,7 +314,7 @@
 
     def _replace(self, entry: Entry, job: Job) -> bool:
         raw = msgspec.json.encode(job)
-        written = swap_certainly(
+        written = swap_confirmed(
             self.platform,
             entry.key,
             raw,
--- a/src/wigeonpier/entry/resends.py
+++ b/src/wigeonpier/entry/resends.py
@@ -13,7 +13,7 @@
 
 from wigeonpier.entry.jobs import refuse_platform, refuse_write
 from wigeonpier.errors import ErrorKind, Ran, Refusal
-from wigeonpier.platform.certain import swap_certainly
+from wigeonpier.platform.certain import swap_confirmed
 from wigeonpier.platform.keys import name_resend
 from wigeonpier.platform.port import Failure
 from wigeonpier.web.messages import Response
@@ -98,7 +98,7 @@
         revision: int,
     ) -> int | Response:
         raw = msgspec.json.encode(answer)
-        written = swap_certainly(
+        written = swap_confirmed(
             self.platform,
             key,
             raw,
--- a/src/wigeonpier/platform/certain.py
+++ b/src/wigeonpier/platform/certain.py
@@ -19,7 +19,7 @@
 MAX_PAUSE_SECONDS = 2.0
 
 
-def swap_certainly(
+def swap_confirmed(
     platform: Platform,
     key: str,
     value: bytes,
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from wigeonpier.bench.platform import StandInPlatform
-from wigeonpier.platform.certain import swap_certainly
+from wigeonpier.platform.certain import swap_confirmed
 from wigeonpier.platform.gateway import GatewayPlatform
 from wigeonpier.platform.port import Failure, VmState
 from wigeonpier.web.client import HttpClient
@@ -92,7 +92,7 @@
     setattr(platform.faults, fault, 0.6)
     for number in range(12):
         key = f'k{number}'
-        wrote = swap_certainly(
+        wrote = swap_confirmed(
             port,
             key,
             b'mine',
@@ -109,7 +109,7 @@
     for number in range(8):
         writers = [
             gevent.spawn(
-                swap_certainly,
+                swap_confirmed,
                 port,
                 f'k{number}',
                 value,
