--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -40,7 +40,7 @@
     HeartbeatSender,
 )
 from wigeonpier.platform import keys
-from wigeonpier.platform.view import PrefixView
+from wigeonpier.platform.view import PrefixWatcher
 from wigeonpier.policy.attempts import Bounds
 from wigeonpier.process import (
     Components,
@@ -111,7 +111,7 @@
     heartbeat_sender: HeartbeatSender
     finalizer: JobFinalizer
     copies: CopyRepairer
-    views: tuple[PrefixView, ...]
+    views: tuple[PrefixWatcher, ...]
     server: Server
     admin: Server
     grace_seconds: float
@@ -312,7 +312,7 @@
 
 def _make_views(
     components: Components, board: JobBoard
-) -> tuple[PrefixView, ...]:
+) -> tuple[PrefixWatcher, ...]:
     platform, rng = components.platform, components.draw
 
     def note_configuration(change: Change) -> None:
@@ -320,9 +320,9 @@
             components.holder.adopt(change.value)
 
     return (
-        PrefixView(platform, keys.CONFIGURATION, note_configuration, rng),
-        PrefixView(platform, keys.JOBS, board.record_job, rng),
-        PrefixView(platform, keys.CHUNKS, board.record_claim, rng),
+        PrefixWatcher(platform, keys.CONFIGURATION, note_configuration, rng),
+        PrefixWatcher(platform, keys.JOBS, board.record_job, rng),
+        PrefixWatcher(platform, keys.CHUNKS, board.record_claim, rng),
     )
 
 
--- a/src/wigeonpier/hosted/assignments.py
+++ b/src/wigeonpier/hosted/assignments.py
@@ -24,7 +24,7 @@
     from wigeonpier.hosted.runner import ItemRunner
     from wigeonpier.models import Assignment, JobItem, OpenJob
     from wigeonpier.platform.port import Change, Failure
-    from wigeonpier.platform.view import ViewFactory
+    from wigeonpier.platform.view import WatcherFactory
 
 READ_RETRY_SECONDS = 0.3
 # Wall clocks differ between VMs; an item must not be abandoned too early.
@@ -45,7 +45,7 @@
         vm: str,
         ledger: JobLedger,
         runner: ItemRunner,
-        make_view: ViewFactory,
+        make_watcher: WatcherFactory,
         refresh_quarantine: Callable[[], None],
         wait: Callable[[float], object] = gevent.sleep,
     ) -> None:
@@ -54,7 +54,7 @@
         :param vm: name of this process's VM.
         :param ledger: jobs in the store.
         :param runner: runs the items.
-        :param make_view: makes the view of the assignments.
+        :param make_watcher: makes the view of the assignments.
         :param refresh_quarantine: rereads the refused requests from the store.
         :param wait: waits the given seconds before a failed read is repeated;
             while the store is unreachable, until it answers again.
@@ -65,7 +65,7 @@
         self._ledger = ledger
         self._runner = runner
         self._assigned: dict[str, Assignment] = {}
-        self.view = make_view(
+        self.view = make_watcher(
             places.name_prefix(places.ASSIGNMENTS, vm),
             self._apply,
         )
--- a/src/wigeonpier/hosted/common.py
+++ b/src/wigeonpier/hosted/common.py
@@ -9,7 +9,7 @@
 
 from wigeonpier.hosted.contact import StoreHealth
 from wigeonpier.platform.store import KeyValueStore
-from wigeonpier.platform.view import PrefixView
+from wigeonpier.platform.view import PrefixWatcher
 from wigeonpier.policy.outage import plan_outage
 from wigeonpier.settings.process import split_address
 from wigeonpier.telemetry.metrics import Metrics
@@ -68,15 +68,15 @@
         self,
         prefix: str,
         on_change: Callable[[Change], None],
-    ) -> PrefixView:
-        """Make a view of the keys with a prefix; the caller starts it.
+    ) -> PrefixWatcher:
+        """Make a watcher of the keys with a prefix; the caller starts it.
 
         :param prefix: prefix of the keys.
         :param on_change: called with each change, in order.
-        :returns: the view; after an outage it resumes as soon as the store
+        :returns: the watcher; after an outage it resumes as soon as the store
             answers any call of this process.
         """
-        return PrefixView(
+        return PrefixWatcher(
             self.store,
             prefix,
             on_change,
--- a/src/wigeonpier/hosted/configuration.py
+++ b/src/wigeonpier/hosted/configuration.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from wigeonpier.platform.port import Entry
-    from wigeonpier.platform.view import ViewFactory
+    from wigeonpier.platform.view import WatcherFactory
     from wigeonpier.served import (
         ServedConfiguration,
     )
@@ -25,12 +25,12 @@
 class ConfigurationWatch:
     """Holds the newest configuration that this process has read."""
 
-    def __init__(self, make_view: ViewFactory) -> None:
+    def __init__(self, make_watcher: WatcherFactory) -> None:
         """Watch the operator's key once started."""
         self.current: ServedConfiguration | None = None
         # Revision of the newest value that was decoded.
         self.revision = 0
-        self.view = make_view(CONFIGURATION_KEY, self._apply)
+        self.view = make_watcher(CONFIGURATION_KEY, self._apply)
 
     def start(self) -> None:
         """Start to watch."""
--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -26,7 +26,7 @@
     from wigeonpier.hosted.contact import StoreHealth
     from wigeonpier.hosted.ledger import JobLedger
     from wigeonpier.platform.port import Change
-    from wigeonpier.platform.view import ViewFactory
+    from wigeonpier.platform.view import WatcherFactory
 
 # A member whose lease expired during a store outage, or that was restarted
 # immediately, rejoins within this time.
@@ -45,7 +45,7 @@
     def __init__(
         self,
         ledger: JobLedger,
-        make_view: ViewFactory,
+        make_watcher: WatcherFactory,
         store_health: StoreHealth,
         rng: random.Random,
     ) -> None:
@@ -54,7 +54,7 @@
         self._store_health = store_health
         self._rng = rng
         self._pending: set[str] = set()
-        self._view = make_view(places.MEMBERS, self._apply)
+        self._view = make_watcher(places.MEMBERS, self._apply)
 
     def start(self) -> None:
         """Start watching."""
--- a/src/wigeonpier/hosted/replicas.py
+++ b/src/wigeonpier/hosted/replicas.py
@@ -34,7 +34,7 @@
     from wigeonpier.hosted.contact import StoreHealth
     from wigeonpier.models import HostSettings, Replica
     from wigeonpier.platform.port import Entry
-    from wigeonpier.platform.view import ViewFactory
+    from wigeonpier.platform.view import WatcherFactory
 
 # Upstreams of one service that an entry routes to.  Each is a connection that
 # reports its load ten times a second, at 80 us of processor time a report:
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        make_view: ViewFactory,
+        make_watcher: WatcherFactory,
         settings: HostSettings,
         store_health: StoreHealth,
         forget: Callable[[str], None],
@@ -60,7 +60,7 @@
         self.upstreams: dict[str, UpstreamState] = {}
         # Called with an upstream once a later start of it is known.
         self.on_restart: Callable[[UpstreamState], object] = _ignore_upstream
-        self.view = make_view(REGISTER, self._apply)
+        self.view = make_watcher(REGISTER, self._apply)
         self._created_revisions: dict[str, int] = {}
         self._last_incarnations: dict[str, int] = {}
         self._routed: list[UpstreamState] | None = None
--- a/src/wigeonpier/hosted/retire.py
+++ b/src/wigeonpier/hosted/retire.py
@@ -21,7 +21,7 @@
     from wigeonpier.hosted.ledger import JobLedger
     from wigeonpier.hosted.membership import Membership
     from wigeonpier.platform.port import Change
-    from wigeonpier.platform.view import ViewFactory
+    from wigeonpier.platform.view import WatcherFactory
 
 PAUSE_SECONDS = 0.5
 # Delay of other processes, so that the one with the disk confirms first.
@@ -37,14 +37,14 @@
         ledger: JobLedger,
         intake: Intake,
         disk: Membership,
-        make_view: ViewFactory,
+        make_watcher: WatcherFactory,
     ) -> None:
         """Watch the orders once started."""
         self._name = name
         self._ledger = ledger
         self._intake = intake
         self._disk = disk
-        self._view = make_view(RETIRE_ORDERS, self._apply)
+        self._view = make_watcher(RETIRE_ORDERS, self._apply)
 
     def start(self) -> None:
         """Start to watch."""
--- a/src/wigeonpier/platform/view.py
+++ b/src/wigeonpier/platform/view.py
@@ -17,8 +17,10 @@
 
     from wigeonpier.platform.port import WatchedStore
 
-# Makes a view of a prefix that reports changes to a callback.
-ViewFactory: TypeAlias = 'Callable[[str, Callable[[Change], None]], PrefixView]'
+# Makes a watcher of a prefix that reports changes to a callback.
+WatcherFactory: TypeAlias = (
+    'Callable[[str, Callable[[Change], None]], PrefixWatcher]'
+)
 
 INITIAL_PAUSE_SECONDS = 0.2
 # Updates have to apply within 2 s, even if one or two calls are lost.
@@ -27,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class PrefixView:
+class PrefixWatcher:
     """Local copy of the keys under a prefix.
 
     :param platform: the key-value service.
