--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -195,14 +195,14 @@
     limits = CustomerLimits(
         clock,
         make_fleet(components, directory, heartbeat_sender),
-        components.draw,
+        components.rng,
         components.start_id,
     )
     forwarder = Forwarder(
         directory,
         components.client,
         components.metrics,
-        components.draw,
+        components.rng,
         SuspectFilter(components.suspicions, components.client),
     )
     online = OnlineHandler(
@@ -313,7 +313,7 @@
 def _make_views(
     components: Components, board: JobBoard
 ) -> tuple[PrefixWatcher, ...]:
-    platform, rng = components.platform, components.draw
+    platform, rng = components.platform, components.rng
 
     def note_configuration(change: Change) -> None:
         if change.value is not None:
--- a/src/wigeonpier/platform/view.py
+++ b/src/wigeonpier/platform/view.py
@@ -35,7 +35,7 @@
     :param platform: the key-value service.
     :param prefix: start of the watched keys.
     :param on_change: called with each change, in order.
-    :param draw: spreads the reads of many processes after an outage.
+    :param rng: spreads the reads of many processes after an outage.
     :param entries: last known entry of each key.
     :param is_complete: whether all keys were read once.
     :param pause: seconds until the next attempt.
@@ -46,7 +46,7 @@
     platform: WatchedStore
     prefix: str
     on_change: Callable[[Change], None]
-    draw: random.Random
+    rng: random.Random
     entries: dict[str, Entry] = field(default_factory=dict)
     is_complete: bool = False
     pause: float = INITIAL_PAUSE_SECONDS
@@ -59,7 +59,7 @@
     def _run(self) -> None:
         if self._follow():
             self.pause = INITIAL_PAUSE_SECONDS
-        self.wait(self.pause * self.draw.uniform(*PAUSE_JITTER))
+        self.wait(self.pause * self.rng.uniform(*PAUSE_JITTER))
         self.pause = min(MAX_PAUSE_SECONDS, self.pause * 2)
 
     def _follow(self) -> bool:
--- a/src/wigeonpier/process.py
+++ b/src/wigeonpier/process.py
@@ -71,7 +71,7 @@
     :param platform: port to the platform.
     :param holder: configuration in force.
     :param export: exports finished spans.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     :param folder: data folder, ``None`` where the process has none.
     :param is_leaving: whether the process accepts no new work.
     :param address: ``host:port`` for callers and peers, empty before start.
@@ -85,7 +85,7 @@
     platform: Platform
     holder: ConfigurationHolder
     export: Callable[[SpanRecord], None]
-    draw: random.Random
+    rng: random.Random
     folder: DataFolder | None
     is_leaving: bool = False
     address: str = ''
@@ -131,7 +131,7 @@
             settings.data_folder,
         ),
         export=choose_exporter(settings.trace_file, settings.otlp),
-        draw=random.Random(),
+        rng=random.Random(),
         folder=folder,
     )
 
