--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -23,7 +23,7 @@
     import random
     from collections.abc import Callable
 
-    from wigeonpier.platform.port import Way
+    from wigeonpier.platform.port import StorePath
     from wigeonpier.platform.store import KeyValueStore
     from wigeonpier.policy.outage import OutagePlan
 
@@ -54,7 +54,7 @@
         self._store = store
         self._rng = rng
         # Finds a process that relays calls to the store; none until it is set.
-        self.find_relay: Callable[[], Way | None] = lambda: None
+        self.find_relay: Callable[[], StorePath | None] = lambda: None
         self._unreachable = Signal()
         self._reachable = Signal()
         self._reachable.set()
@@ -105,10 +105,10 @@
             self._unreachable.set()
             log_event(Event.platform_lost)
 
-    def find_relay_path(self) -> Way | None:
+    def find_relay_path(self) -> StorePath | None:
         """Choose a process that relays a call to the store.
 
-        :returns: the way to it, ``None`` as long as the store answers this
+        :returns: the path to it, ``None`` as long as the store answers this
             process.
         """
         return self.find_relay() if self.is_unreachable else None
--- a/src/wigeonpier/hosted/relay.py
+++ b/src/wigeonpier/hosted/relay.py
@@ -17,7 +17,7 @@
 from result import Err
 
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.platform.port import Way
+from wigeonpier.platform.port import StorePath
 from wigeonpier.platform.store import LONGEST_CALL_SECONDS
 from wigeonpier.web.exchange import make_request
 from wigeonpier.web.messages import JSON_TYPE, Request, Response
@@ -111,16 +111,16 @@
         else:
             self._offered_at.pop(host, None)
 
-    def find(self) -> Way | None:
+    def find(self) -> StorePath | None:
         """Choose a worker that relays a call.
 
-        :returns: the way through a random worker with a recent offer, or
+        :returns: the path through a random worker with a recent offer, or
             ``None``.
         """
         addresses = self.list_addresses()
         if not addresses:
             return None
-        return Way(self._rng.choice(addresses), RELAY_PATH)
+        return StorePath(self._rng.choice(addresses), RELAY_PATH)
 
     def list_addresses(self) -> list[str]:
         """List the workers that the store answers.
--- a/src/wigeonpier/platform/calls.py
+++ b/src/wigeonpier/platform/calls.py
@@ -12,7 +12,7 @@
 from result import Err, Result
 
 from wigeonpier.platform import wire
-from wigeonpier.platform.port import Way
+from wigeonpier.platform.port import StorePath
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
 from wigeonpier.web.client import CallFailure
@@ -89,7 +89,7 @@
         """
         self.address = address
         self.on_outcome: Callable[..., None] | None = None
-        self.find_relay_path: Callable[[], Way | None] = lambda: None
+        self.find_relay_path: Callable[[], StorePath | None] = lambda: None
         self._pool = pool
         self._metrics = metrics
         # Watches in flight and their start times on the monotonic clock.
@@ -135,51 +135,51 @@
         :returns: the answer.
         """
         started_at = time.monotonic()
-        replied = self._send_by(Way(self.address), call, timeout)
+        replied = self._send_by(StorePath(self.address), call, timeout)
         if self.on_outcome is not None:
             self.on_outcome(started_at, is_answered=_is_answered(replied))
         return replied
 
     def _send_by(
         self,
-        way: Way,
+        store_path: StorePath,
         call: Call,
         timeout: float,
     ) -> Result[Reply, CallFailure]:
         headers = [
-            ('Host', way.address),
+            ('Host', store_path.address),
             ('Content-Type', 'application/json'),
         ]
-        target = way.prefix + call.target
+        target = store_path.prefix + call.target
         raw = make_request(call.method, target, headers, call.body)
         started_at = time.monotonic()
-        replied = self._call(way, call, raw, timeout)
-        self._record(call, replied, time.monotonic() - started_at, way)
+        replied = self._call(store_path, call, raw, timeout)
+        self._record(call, replied, time.monotonic() - started_at, store_path)
         return replied
 
     def _call(
         self,
-        way: Way,
+        store_path: StorePath,
         call: Call,
         raw: bytes,
         timeout: float,
     ) -> Result[Reply, CallFailure]:
         if call.name != wire.WATCH_PATH:
-            return self._pool.call(way.address, raw, timeout)
+            return self._pool.call(store_path.address, raw, timeout)
         with ExitStack() as cleanup:
 
             def register(watch: Exchange) -> None:
                 self._watches[watch] = time.monotonic()
                 cleanup.callback(self._watches.pop, watch)
 
-            return self._pool.call(way.address, raw, timeout, register)
+            return self._pool.call(store_path.address, raw, timeout, register)
 
     def _record(
         self,
         call: Call,
         replied: Result[Reply, CallFailure],
         seconds: float,
-        way: Way,
+        store_path: StorePath,
     ) -> None:
         if isinstance(replied, Err):
             outcome = replied.err_value.value
@@ -198,7 +198,7 @@
                 call=call.name,
                 outcome=outcome,
                 seconds=round(seconds, 3),
-                carried_by=way.address if way.prefix else '',
+                carried_by=store_path.address if store_path.prefix else '',
             )
 
 
--- a/src/wigeonpier/platform/port.py
+++ b/src/wigeonpier/platform/port.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class StorePath:
     """Where calls to the key-value service are sent.
 
     :param address: ``host:port`` of the service or of a relay.
