--- a/src/wigeonpier/hosted/arrival.py
+++ b/src/wigeonpier/hosted/arrival.py
@@ -37,7 +37,7 @@
     """
 
     request: Request
-    head: ingress.QuestionHead
+    head: ingress.RequestHead
     route: ServedRoute
     customer: ServedCustomer | None = None
 
@@ -66,7 +66,7 @@
     key = ingress.take_key(request)
     if configuration is None:
         raise make_not_ready_refusal()
-    head = ingress.read_question(request)
+    head = ingress.read_request_head(request)
     route = match_route(configuration, head.host, request.path)
     if route is None:
         raise Refusal(ErrorKind.not_found, f'no route for {request.path}')
@@ -96,7 +96,7 @@
     key = ingress.take_key(request)
     if configuration is None:
         raise make_not_ready_refusal()
-    host = ingress.read_question(request).host
+    host = ingress.read_request_head(request).host
     # A job that was submitted without a key is read without one.
     is_open = not key and any(
         route.is_open for route in configuration.routes if route.host == host
@@ -127,7 +127,7 @@
         return identity.customer
     log_event(
         Event.caller_turned_away,
-        request=ingress.read_question(request).identity,
+        request=ingress.read_request_head(request).identity,
         caller=request.caller,
         why=identity.verdict.value,
         age=round(freshness.age, 3),
--- a/src/wigeonpier/hosted/question.py
+++ b/src/wigeonpier/hosted/question.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     import gevent
 
-    from wigeonpier.platform.ingress import QuestionHead
+    from wigeonpier.platform.ingress import RequestHead
     from wigeonpier.policy.route import UpstreamState
     from wigeonpier.served import (
         ServedRoute,
@@ -82,7 +82,7 @@
     """
 
     http_request: Request
-    head: QuestionHead
+    head: RequestHead
     route: ServedRoute
     service: str
     body: bytes
--- a/src/wigeonpier/platform/ingress.py
+++ b/src/wigeonpier/platform/ingress.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuestionHead:
+class RequestHead:
     """What the headers of an online request say.
 
     :param identity: id of the caller's attempt.
@@ -67,7 +67,7 @@
     customer: str = ''
 
 
-def read_question(request: Request) -> QuestionHead:
+def read_request_head(request: Request) -> RequestHead:
     """Read the headers of an online request.
 
     :param request: the caller's request.
@@ -76,7 +76,7 @@
     found = request.headers
     deadline = found.get(wire.DEADLINE_MS.lower(), '')
     parts = found.get(wire.PROMPT_PARTS.lower(), '')
-    return QuestionHead(
+    return RequestHead(
         identity=found.get(wire.REQUEST_ID.lower(), ''),
         host=found.get('host', '').lower(),
         seconds=int(deadline) / MILLISECONDS if deadline.isdigit() else None,
--- a/tests/hosted/builders.py
+++ b/tests/hosted/builders.py
@@ -33,7 +33,7 @@
 from wigeonpier.membership.ends import CrashDetector
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.models import Bounds, HostSettings, OpenJob
-from wigeonpier.platform.ingress import QuestionHead
+from wigeonpier.platform.ingress import RequestHead
 from wigeonpier.platform.operator import decode_configuration
 from wigeonpier.telemetry.metrics import Metrics
 from wigeonpier.web.exchange import make_request
@@ -157,7 +157,7 @@
     route = decode_configuration(content).routes[0]
     return OnlineRequest(
         http_request=Request('POST', '/ask/a', '', {}, None, target='/ask/a'),
-        head=QuestionHead('q1', HOST, 5.0, (), ''),
+        head=RequestHead('q1', HOST, 5.0, (), ''),
         route=route,
         service=SERVICE,
         body=b'{}',
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -107,7 +107,7 @@
 
 def test_prompt_parts_are_read() -> None:
     headers = {'x-prompt-prefix': 'a:800,b:410', 'x-deadline-ms': '250'}
-    head = ingress.read_question(Request('POST', '/', '', headers, None))
+    head = ingress.read_request_head(Request('POST', '/', '', headers, None))
     assert head.prompt_parts == ('a', 'b')
     assert head.seconds == 0.25
 
