--- a/src/wigeonpier/hosted/arrival.py
+++ b/src/wigeonpier/hosted/arrival.py
@@ -63,7 +63,7 @@
     :raises Refusal: when there is no route, the key is invalid, or the
         configuration is missing or too old to authenticate the caller.
     """
-    key = ingress.take_key(request)
+    key = ingress.pop_key(request)
     if configuration is None:
         raise make_not_ready_refusal()
     head = ingress.read_request_head(request)
@@ -93,7 +93,7 @@
     :raises Refusal: when the key is invalid, or the configuration is missing
         or too old to authenticate the caller.
     """
-    key = ingress.take_key(request)
+    key = ingress.pop_key(request)
     if configuration is None:
         raise make_not_ready_refusal()
     host = ingress.read_request_head(request).host
--- a/src/wigeonpier/platform/ingress.py
+++ b/src/wigeonpier/platform/ingress.py
@@ -194,7 +194,7 @@
     return min(seconds, MAX_WAIT_SECONDS)
 
 
-def take_key(request: Request) -> str:
+def pop_key(request: Request) -> str:
     """Remove the caller's key from a request, so that it is not forwarded.
 
     :param request: changed in place.
