--- a/src/wigeonpier/hosted/jobs.py
+++ b/src/wigeonpier/hosted/jobs.py
@@ -87,7 +87,7 @@
         """
         after = _parse_after(request.query)
         job = scope_job(request.customer, name)
-        page = self._read_page(job, after, ingress.read_wait(request))
+        page = self._read_page(job, after, ingress.read_max_wait(request))
         body = jobbodies.encode_results(
             page.total,
             after + len(page.results),
--- a/src/wigeonpier/platform/ingress.py
+++ b/src/wigeonpier/platform/ingress.py
@@ -183,7 +183,7 @@
     return answer.get_header(wire.INSTANCE)
 
 
-def read_wait(request: Request) -> float:
+def read_max_wait(request: Request) -> float:
     """Read the longest wait that the caller of a read allows.
 
     :param request: the caller's request.
