--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -115,7 +115,7 @@
 
     def probe(self) -> None:
         """Probe the store."""
-        self._store.ask_sign(self.plan.call)
+        self._store.probe(self.plan.call)
 
     def wait(self, seconds: float) -> None:
         """Wait before a failed call is repeated.
--- a/src/wigeonpier/platform/store.py
+++ b/src/wigeonpier/platform/store.py
@@ -120,7 +120,7 @@
             return Err(Failure.unavailable)
         return Ok(reply.decode(RevisionOnly).revision)
 
-    def ask_sign(self, timeout: float) -> None:
+    def probe(self, timeout: float) -> None:
         """Probe whether the service answers, with the cheapest read.
 
         The result goes to ``calls.on_outcome``.
