--- a/src/wigeonpier/bench/store.py
+++ b/src/wigeonpier/bench/store.py
@@ -94,8 +94,8 @@
             make_route('GET', wire.WATCH_PATH, self._watch),
             make_route('POST', wire.COMMIT_PATH, self._commit),
             make_route('POST', wire.LEASE_PATH, self._grant),
-            make_route('POST', wire.KEEP_PATH + NUMBER, self._renew_lease),
-            make_route('DELETE', wire.END_PATH + NUMBER, self._revoke_lease),
+            make_route('POST', wire.RENEW_PATH + NUMBER, self._renew_lease),
+            make_route('DELETE', wire.REVOKE_PATH + NUMBER, self._revoke_lease),
         ]
         self._server = Server('127.0.0.1', 0, self._guard(dispatch_to(routes)))
         self._server.start()
--- a/src/wigeonpier/hosted/membership.py
+++ b/src/wigeonpier/hosted/membership.py
@@ -63,7 +63,7 @@
         """Leave the board at once, before the lease expires."""
         self.is_wanted = False
         if self._lease:
-            self._store.end_lease(self._lease)
+            self._store.revoke_lease(self._lease)
             self._lease = 0
             log_event(Event.member_left, key=self._key, why='leaving')
 
@@ -78,7 +78,7 @@
             gevent.sleep(CHECK_INTERVAL_SECONDS)
 
     def _renew(self) -> None:
-        renewed = self._store.keep_lease(self._lease)
+        renewed = self._store.renew_lease(self._lease)
         if isinstance(renewed, Ok) and not renewed.ok_value:
             log_event(Event.member_left, key=self._key, why='lapsed')
             self._lease = 0
--- a/src/wigeonpier/platform/gateway.py
+++ b/src/wigeonpier/platform/gateway.py
@@ -154,7 +154,7 @@
         )
         return granted.map(lambda reply: int(reply.identity))
 
-    def keep_lease(self, lease: int) -> Result[int, Failure]:
+    def renew_lease(self, lease: int) -> Result[int, Failure]:
         """Renew a lease; the value is its time to live, 0 if it has expired."""
         renewed = self._call(
             '/v3/lease/keepalive',
--- a/src/wigeonpier/platform/port.py
+++ b/src/wigeonpier/platform/port.py
@@ -158,7 +158,7 @@
     def grant_lease(self, seconds: int) -> Result[int, Failure]:
         """Get a lease that expires unless it is renewed."""
 
-    def keep_lease(self, lease: int) -> Result[int, Failure]:
+    def renew_lease(self, lease: int) -> Result[int, Failure]:
         """Renew a lease; the value is its time to live, 0 if it has expired."""
 
     def watch(self, prefix: str, revision: int) -> Iterator[Change]:
--- a/src/wigeonpier/platform/store.py
+++ b/src/wigeonpier/platform/store.py
@@ -214,24 +214,24 @@
             lambda reply: reply.decode(GrantedLease).lease
         )
 
-    def keep_lease(self, lease: int) -> Result[bool, Failure]:
+    def renew_lease(self, lease: int) -> Result[bool, Failure]:
         """Renew a lease.
 
         :param lease: its id.
         :returns: false where it has expired.
         """
-        replied = self._send('POST', f'{wire.KEEP_PATH}{lease}', {}, {})
+        replied = self._send('POST', f'{wire.RENEW_PATH}{lease}', {}, {})
         if isinstance(replied, Ok) and replied.ok_value.status == NOT_FOUND:
             return Ok(False)
         return _classify_reply(replied).map(lambda _reply: True)
 
-    def end_lease(self, lease: int) -> Result[bool, Failure]:
+    def revoke_lease(self, lease: int) -> Result[bool, Failure]:
         """Revoke a lease, which removes its keys.
 
         :param lease: its id.
         :returns: true where the service confirmed it.
         """
-        replied = self._send('DELETE', f'{wire.END_PATH}{lease}', {})
+        replied = self._send('DELETE', f'{wire.REVOKE_PATH}{lease}', {})
         return _classify_reply(replied).map(lambda _reply: True)
 
     def watch(self, prefix: str, revision: int) -> Iterator[Change]:
--- a/src/wigeonpier/platform/wire.py
+++ b/src/wigeonpier/platform/wire.py
@@ -36,8 +36,8 @@
 WATCH_PATH = '/-/kv-watch'
 COMMIT_PATH = '/-/kv-txn'
 LEASE_PATH = '/-/kv-lease'
-KEEP_PATH = '/-/kv-keep/'
-END_PATH = '/-/kv-lease-end/'
+RENEW_PATH = '/-/kv-keep/'
+REVOKE_PATH = '/-/kv-lease-end/'
 
 # Query parameters of these calls.  ``after`` is a key for pages and a revision
 # for watches.
--- a/tests/hosted/test_membership.py
+++ b/tests/hosted/test_membership.py
@@ -30,7 +30,7 @@
     def commit(self, _change: object) -> Ok:
         return Ok(1)
 
-    def keep_lease(self, _lease: int) -> Ok:
+    def renew_lease(self, _lease: int) -> Ok:
         return Ok(True)
 
 
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -63,10 +63,10 @@
     platform, port = stand_in
     lease = port.grant_lease(60).unwrap()
     port.swap('k', b'mine', 0, lease).unwrap()
-    assert port.keep_lease(lease).unwrap() == 60
+    assert port.renew_lease(lease).unwrap() == 60
     platform.lapse_lease(lease)
     assert port.get('k') == Ok(None)
-    assert port.keep_lease(lease).unwrap() == 0
+    assert port.renew_lease(lease).unwrap() == 0
 
 
 def test_vm_list_may_be_out_of_date(stand_in) -> None:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -110,17 +110,17 @@
 def test_keys_are_removed_with_their_lease(store: KeyValueStore) -> None:
     lease = store.grant_lease(1).unwrap()
     store.commit(Commit(writes={'m': b'1'}, lease=lease))
-    assert store.keep_lease(lease) == Ok(True)
-    store.end_lease(lease)
+    assert store.renew_lease(lease) == Ok(True)
+    store.revoke_lease(lease)
     assert store.get('m') == Ok(None)
-    assert store.keep_lease(lease) == Ok(False)
+    assert store.renew_lease(lease) == Ok(False)
     late = store.commit(Commit(writes={'m': b'1'}, lease=lease))
     assert late == Err(Failure.lapsed)
 
 
 def test_lease_id_is_never_reused(store: KeyValueStore) -> None:
     first, second = (store.grant_lease(9).unwrap() for _ in range(2))
-    store.end_lease(first)
+    store.revoke_lease(first)
     assert store.grant_lease(9).unwrap() not in {first, second}
 
 
