--- a/src/wigeonpier/hosted/contact.py
+++ b/src/wigeonpier/hosted/contact.py
@@ -135,7 +135,7 @@
         self._unreachable.clear()
         # A watch that was requested during the outage may never be answered:
         # items of a cancelled job were run for 4.8 s after its end.
-        self._store.calls.break_watches(self._answered_until)
+        self._store.calls.abort_watches(self._answered_until)
         self._reachable.set()
         log_event(Event.platform_found, after=round(lost_seconds, 3))
 
--- a/src/wigeonpier/platform/calls.py
+++ b/src/wigeonpier/platform/calls.py
@@ -95,7 +95,7 @@
         # Watches in flight and their start times on the monotonic clock.
         self._watches: dict[Exchange, float] = {}
 
-    def break_watches(self, since: float) -> None:
+    def abort_watches(self, since: float) -> None:
         """Abort the watches that were started after a moment.
 
         A watch that reached the service while it answered no calls is never
