--- a/src/wigeonpier/bench/store.py
+++ b/src/wigeonpier/bench/store.py
@@ -152,7 +152,7 @@
         }
 
     def _choose_cells(self, query: dict[str, str]) -> dict[str, StoredItem]:
-        allow_stale = wire.MAY_BE_OLD in query
+        allow_stale = wire.ALLOW_STALE in query
         if allow_stale and self._stale_cells is not None:
             return self._stale_cells
         return self._cells
--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -84,7 +84,7 @@
             return
         # A stale read is enough here: membership is checked again before any
         # item is reassigned.
-        read = self._ledger.read_board(may_be_old=True)
+        read = self._ledger.read_board(allow_stale=True)
         if isinstance(read, Err):
             return
         owners = {
--- a/src/wigeonpier/hosted/holder.py
+++ b/src/wigeonpier/hosted/holder.py
@@ -172,7 +172,7 @@
             age > BOARD_REFRESH_SECONDS
             or len(self.board.disks) < self.copies_needed
         ):
-            read = self.ledger.read_board(may_be_old=True)
+            read = self.ledger.read_board(allow_stale=True)
             if isinstance(read, Ok):
                 self.record_board(read.ok_value)
         self.wait(BOARD_CHECK_SECONDS)
--- a/src/wigeonpier/hosted/ledger.py
+++ b/src/wigeonpier/hosted/ledger.py
@@ -92,19 +92,19 @@
         self,
         timeout: float = CALL_SECONDS,
         *,
-        may_be_old: bool = False,
+        allow_stale: bool = False,
     ) -> Result[Board, Failure]:
         """Read the whole board.
 
         :param timeout: longest wait for the store, seconds.
-        :param may_be_old: whether a board that is seconds old is accepted, for
+        :param allow_stale: whether a board that is seconds old is accepted, for
             callers that read it again before they act on it.
         :returns: open jobs, members and disks.
         """
         listed = self.store.list_prefix(
             places.BOARD,
             timeout,
-            may_be_old=may_be_old,
+            allow_stale=allow_stale,
         )
         if isinstance(listed, Err):
             return listed
@@ -251,7 +251,7 @@
         """
         listed = self.store.list_prefix(
             places.name_prefix(places.ITEMS, job),
-            may_be_old=True,
+            allow_stale=True,
         )
         return listed.map(_join_parts)
 
@@ -392,7 +392,7 @@
         Bodies that callers fetch were 37 of the 1,137 calls of a day with
         little load.
         """
-        read = self.store.get(key, may_be_old=True)
+        read = self.store.get(key, allow_stale=True)
         if isinstance(read, Ok) and read.ok_value is not None:
             return read
         return self.store.get(key)
--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -117,7 +117,7 @@
         if now - self._read_at < MIN_READ_INTERVAL_SECONDS:
             return
         self._read_at = now
-        listed = self._store.list_prefix(places.REFUSED, may_be_old=True)
+        listed = self._store.list_prefix(places.REFUSED, allow_stale=True)
         if isinstance(listed, Err):
             return
         self.load(
--- a/src/wigeonpier/platform/store.py
+++ b/src/wigeonpier/platform/store.py
@@ -84,16 +84,16 @@
         self,
         key: str,
         *,
-        may_be_old: bool = False,
+        allow_stale: bool = False,
     ) -> Result[Entry | None, Failure]:
         """Read one key.
 
         :param key: its name.
-        :param may_be_old: whether the value may be some seconds old; such a
+        :param allow_stale: whether the value may be some seconds old; such a
             read costs a tenth of another one.
         :returns: the key, ``None`` where it does not exist.
         """
-        query = {wire.KEY: key} | _make_stale_query(may_be_old=may_be_old)
+        query = {wire.KEY: key} | _make_stale_query(allow_stale=allow_stale)
         replied = self._send('GET', wire.KEY_PATH, query)
         if isinstance(replied, Err):
             return Err(Failure.unavailable)
@@ -127,7 +127,7 @@
 
         :param timeout: longest time without any data, seconds.
         """
-        query = {wire.KEY: wire.OPERATOR_CONFIGURATION, wire.MAY_BE_OLD: 1}
+        query = {wire.KEY: wire.OPERATOR_CONFIGURATION, wire.ALLOW_STALE: 1}
         call = make_call('GET', wire.KEY_PATH, query)
         self.calls.send_directly(call, timeout)
 
@@ -136,7 +136,7 @@
         prefix: str,
         timeout: float = CALL_SECONDS,
         *,
-        may_be_old: bool = False,
+        allow_stale: bool = False,
     ) -> Result[Snapshot, Failure]:
         """Read all keys under a prefix.
 
@@ -145,13 +145,13 @@
 
         :param prefix: start of the keys.
         :param timeout: longest time without any data, seconds.
-        :param may_be_old: whether the values may be some seconds old; such a
+        :param allow_stale: whether the values may be some seconds old; such a
             read costs a tenth of another one.
         :returns: the keys, and the revision after which a watch continues.
         """
         entries: list[Entry] = []
         revision = 0
-        stale = _make_stale_query(may_be_old=may_be_old)
+        stale = _make_stale_query(allow_stale=allow_stale)
         query: dict[str, Any] = {wire.PREFIX: prefix} | stale
         while True:
             replied = self._send(
@@ -298,8 +298,8 @@
         return self.calls.send(make_call(method, path, query, body), timeout)
 
 
-def _make_stale_query(*, may_be_old: bool) -> dict[str, int]:
-    return {wire.MAY_BE_OLD: 1} if may_be_old else {}
+def _make_stale_query(*, allow_stale: bool) -> dict[str, int]:
+    return {wire.ALLOW_STALE: 1} if allow_stale else {}
 
 
 def _classify_reply(
--- a/src/wigeonpier/platform/wire.py
+++ b/src/wigeonpier/platform/wire.py
@@ -46,7 +46,7 @@
 AFTER = 'after'
 WATCH_WAIT_MS = 'waitMs'
 # A read that may return old values costs a tenth of another one.
-MAY_BE_OLD = 'allowStale'
+ALLOW_STALE = 'allowStale'
 
 OPERATOR_CONFIGURATION = 'op/config'
 RETIRE_ORDERS = 'op/retire/'
