--- a/src/wigeonpier/hosted/ledger.py
+++ b/src/wigeonpier/hosted/ledger.py
@@ -24,7 +24,7 @@
 )
 from wigeonpier.platform import places
 from wigeonpier.platform.port import Change, Commit, Entry, Failure
-from wigeonpier.platform.store import CALL_SECONDS
+from wigeonpier.platform.store import CALL_TIMEOUT_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -90,7 +90,7 @@
 
     def read_board(
         self,
-        timeout: float = CALL_SECONDS,
+        timeout: float = CALL_TIMEOUT_SECONDS,
         *,
         allow_stale: bool = False,
     ) -> Result[Board, Failure]:
@@ -117,7 +117,7 @@
         self,
         job: OpenJob,
         items: list[JobItem],
-        timeout: float = CALL_SECONDS,
+        timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> Result[int, Failure]:
         """Write a new job and assign its items, in one transaction.
 
--- a/src/wigeonpier/platform/gateway.py
+++ b/src/wigeonpier/platform/gateway.py
@@ -26,7 +26,7 @@
 
     from wigeonpier.web.client import HttpClient, Reply
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 WATCH_SECONDS = 60.0
 SERVER_ERROR = 500
 _DELETE = 'DELETE'
@@ -192,7 +192,7 @@
             self._address,
             'GET',
             '/vms',
-            timeout=CALL_SECONDS,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
         if isinstance(called, Err) or not called.ok_value.is_good:
             return Err(Failure.unavailable)
@@ -225,7 +225,7 @@
             'POST',
             path,
             msgspec.json.encode(body),
-            timeout=CALL_SECONDS,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
         failure = _find_failure(called, failure_if_lost)
         if failure is None:
--- a/src/wigeonpier/platform/store.py
+++ b/src/wigeonpier/platform/store.py
@@ -40,13 +40,13 @@
 
 # A slow service still answers within 0.3 s; one that exceeds this time is
 # treated as unreachable.
-CALL_SECONDS = 1.2
+CALL_TIMEOUT_SECONDS = 1.2
 # A watch that waits longer than the service keeps its history has to start
 # over with a full read.
 HISTORY_SHARE = 0.75
 MAX_WATCH_SECONDS = 30.0
 WATCH_SLACK_SECONDS = 2.0
-LONGEST_CALL_SECONDS = MAX_WATCH_SECONDS + WATCH_SLACK_SECONDS
+MAX_CALL_SECONDS = MAX_WATCH_SECONDS + WATCH_SLACK_SECONDS
 # Pause before the next call of a watch, so that changes in quick succession
 # arrive in one answer: when 28 replicas start, an entry makes 8 calls instead
 # of 31.  All limits on the delay of updates are 2 s or more.
@@ -134,7 +134,7 @@
     def list_prefix(
         self,
         prefix: str,
-        timeout: float = CALL_SECONDS,
+        timeout: float = CALL_TIMEOUT_SECONDS,
         *,
         allow_stale: bool = False,
     ) -> Result[Snapshot, Failure]:
@@ -172,7 +172,7 @@
     def commit(
         self,
         change: Commit,
-        timeout: float = CALL_SECONDS,
+        timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> Result[int, Failure]:
         """Change keys atomically.
 
@@ -293,7 +293,7 @@
         query: dict[str, Any],
         body: object = None,
         *,
-        timeout: float = CALL_SECONDS,
+        timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> Result[Reply, CallFailure]:
         return self.calls.send(make_call(method, path, query, body), timeout)
 
