--- a/src/wigeonpier/bench/arrivals.py
+++ b/src/wigeonpier/bench/arrivals.py
@@ -62,11 +62,11 @@
     length: int = 32
 
 
-def draw_arrivals(plan: LoadPlan, draw: random.Random) -> list[Arrival]:
+def draw_arrivals(plan: LoadPlan, rng: random.Random) -> list[Arrival]:
     """Draw all requests of a run.
 
     :param plan: how they come.
-    :param draw: seeded source of randomness.
+    :param rng: seeded source of randomness.
     :returns: requests in order of time.
     """
     most = plan.rate * max(
@@ -77,12 +77,12 @@
     arrivals: list[Arrival] = []
     at: float = 0
     while True:
-        at += draw.expovariate(most)
+        at += rng.expovariate(most)
         if at >= plan.seconds:
             return arrivals
         # Thinning: keep a candidate in proportion to the rate at its time.
-        if draw.random() * most < measure_rate(plan, at):
-            arrivals.append(_draw_request(plan, at, len(arrivals), draw))
+        if rng.random() * most < measure_rate(plan, at):
+            arrivals.append(_draw_request(plan, at, len(arrivals), rng))
 
 
 def measure_rate(plan: LoadPlan, at: float) -> float:
@@ -106,12 +106,12 @@
     plan: LoadPlan,
     at: float,
     number: int,
-    draw: random.Random,
+    rng: random.Random,
 ) -> Arrival:
-    topic = draw.randrange(TOPICS)
+    topic = rng.randrange(TOPICS)
     shared = ' '.join(f'{word}{topic}' for word in WORDS * 4)
     own = ' '.join(
-        draw.choice(WORDS) for _ in range(PROMPT_WORDS - SHARED_WORDS)
+        rng.choice(WORDS) for _ in range(PROMPT_WORDS - SHARED_WORDS)
     )
-    length = max(2, int(draw.gauss(plan.length, plan.length / 4)))
+    length = max(2, int(rng.gauss(plan.length, plan.length / 4)))
     return Arrival(at, f'{shared} {own} question {number}', length)
--- a/src/wigeonpier/bench/quotamodel.py
+++ b/src/wigeonpier/bench/quotamodel.py
@@ -88,11 +88,11 @@
     """What was asked and admitted so far.
 
     :param scene: the customer.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     """
 
     scene: Scene
-    draw: random.Random
+    rng: random.Random
     admitted: Log = field(default_factory=Log)
     by_entry: list[Log] = field(init=False)
     asked: list[Log] = field(init=False)
@@ -163,7 +163,7 @@
 def limit_carefully(world: World, now: float, entry: int) -> bool:
     """Admit at random near the limit, as the entries do."""
     chance = estimate_admission(world.scene.limit, _look(world, now, entry))
-    return world.draw.random() < chance
+    return world.rng.random() < chance
 
 
 def limit_exactly(world: World, now: float, _entry: int) -> bool:
@@ -213,21 +213,21 @@
     )
 
 
-def draw_arrivals(scene: Scene, draw: random.Random) -> list[tuple[float, int]]:
+def draw_arrivals(scene: Scene, rng: random.Random) -> list[tuple[float, int]]:
     """Draw a customer's requests: crests, and some seconds of heat.
 
     :param scene: the customer.
-    :param draw: source of randomness.
+    :param rng: source of randomness.
     :returns: moments, and the entry to which each request comes.
     """
-    homes = [draw.randrange(scene.entries) for _ in range(scene.callers)]
+    homes = [rng.randrange(scene.entries) for _ in range(scene.callers)]
     peak = scene.rate * CREST * scene.heat
     arrivals = []
-    now = draw.expovariate(peak)
+    now = rng.expovariate(peak)
     while now < RUN_SECONDS:
-        if draw.random() * peak < scene.rate * _shape_load(scene, now):
-            arrivals.append((now, draw.choice(homes)))
-        now += draw.expovariate(peak)
+        if rng.random() * peak < scene.rate * _shape_load(scene, now):
+            arrivals.append((now, rng.choice(homes)))
+        now += rng.expovariate(peak)
     return arrivals
 
 
@@ -292,7 +292,7 @@
 
 def _look(world: World, now: float, entry: int) -> UsageCount:
     """See what the entry sees: others late, its own requests at once."""
-    told_until = now - world.draw.uniform(*LAG_SECONDS)
+    told_until = now - world.rng.uniform(*LAG_SECONDS)
     own = world.by_entry[entry]
     demand = world.asked[entry].count(now - DEMAND_SECONDS, now)
     return UsageCount(
--- a/tests/entry/test_limits.py
+++ b/tests/entry/test_limits.py
@@ -135,21 +135,21 @@
     :param restarts: mean rate of restarts of entries, per second.
     :returns: times of the admitted requests, and how many were sent.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     admitted = []
     sent = 0
     end = site.now + 60
     reported_at = site.now
     while site.now < end:
-        gap = draw.expovariate(load * RATE)
+        gap = rng.expovariate(load * RATE)
         site.now += gap
         if site.now - reported_at >= REPORT_SECONDS:
             reported_at = site.now
             site.report()
-        if draw.random() < restarts * gap:
-            site.restart(draw.choice(site.names))
+        if rng.random() < restarts * gap:
+            site.restart(rng.choice(site.names))
         sent += 1
-        if site.send(draw.randrange(site.count)):
+        if site.send(rng.randrange(site.count)):
             admitted.append(site.now)
     return admitted, sent
 
