--- a/src/wigeonpier/entry/app.py
+++ b/src/wigeonpier/entry/app.py
@@ -122,7 +122,7 @@
         :returns: address for callers.
         """
         self.components.address = self.server.address
-        self.components.holder.listen(self.key_ring.load)
+        self.components.holder.add_listener(self.key_ring.load)
         self.heartbeat_sender.on_reply = self._handle_reply
         for view in self.views:
             view.start()
--- a/src/wigeonpier/local/app.py
+++ b/src/wigeonpier/local/app.py
@@ -86,7 +86,7 @@
         :returns: address of the server.
         """
         self.components.address = self.server.address
-        self.components.holder.listen(self._apply_deployment)
+        self.components.holder.add_listener(self._apply_deployment)
         self.watch.start()
         self.watch.on_change = self.heartbeat_sender.send_soon
         self.worker.on_queue_low = self.heartbeat_sender.send_soon
--- a/src/wigeonpier/settings/holder.py
+++ b/src/wigeonpier/settings/holder.py
@@ -57,7 +57,7 @@
             )
         return self._deployment
 
-    def listen(self, listener: Callable[[Deployment], None]) -> None:
+    def add_listener(self, listener: Callable[[Deployment], None]) -> None:
         """Add a listener for configurations.
 
         :param listener: called with the current configuration, if there is
