--- a/src/wigeonpier/batch/chunk.py
+++ b/src/wigeonpier/batch/chunk.py
@@ -20,7 +20,7 @@
     JournalWriter,
 )
 from wigeonpier.invariants import Invariant, check_invariant
-from wigeonpier.platform.certain import swap_confirmed
+from wigeonpier.platform.confirmedwrite import swap_confirmed
 from wigeonpier.platform.keys import name_chunk
 from wigeonpier.platform.port import Failure as PlatformFailure
 from wigeonpier.policy.attempts import (
--- a/src/wigeonpier/entry/configuration.py
+++ b/src/wigeonpier/entry/configuration.py
@@ -14,7 +14,7 @@
 from wigeonpier.entry.jobs import refuse_platform, refuse_write
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.platform import keys
-from wigeonpier.platform.certain import swap_confirmed
+from wigeonpier.platform.confirmedwrite import swap_confirmed
 from wigeonpier.platform.port import Entry, Failure, Platform
 from wigeonpier.settings.deployment import Bundle, make_effective
 from wigeonpier.settings.document import DocumentError
--- a/src/wigeonpier/entry/finalizer.py
+++ b/src/wigeonpier/entry/finalizer.py
@@ -31,7 +31,7 @@
 from wigeonpier.invariants import Invariant, check_invariant
 from wigeonpier.loops import spawn_loop
 from wigeonpier.platform import keys
-from wigeonpier.platform.certain import swap_confirmed
+from wigeonpier.platform.confirmedwrite import swap_confirmed
 from wigeonpier.platform.port import Failure
 from wigeonpier.policy.ranking import rank_by_key
 from wigeonpier.records import Status
--- a/src/wigeonpier/entry/jobs.py
+++ b/src/wigeonpier/entry/jobs.py
@@ -27,7 +27,7 @@
 from wigeonpier.entry.uploads import find_service
 from wigeonpier.errors import ErrorKind, Ran, Refusal
 from wigeonpier.platform import keys
-from wigeonpier.platform.certain import swap_confirmed
+from wigeonpier.platform.confirmedwrite import swap_confirmed
 from wigeonpier.platform.port import Entry, Failure, Platform
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
--- a/src/wigeonpier/entry/resends.py
+++ b/src/wigeonpier/entry/resends.py
@@ -13,7 +13,7 @@
 
 from wigeonpier.entry.jobs import refuse_platform, refuse_write
 from wigeonpier.errors import ErrorKind, Ran, Refusal
-from wigeonpier.platform.certain import swap_confirmed
+from wigeonpier.platform.confirmedwrite import swap_confirmed
 from wigeonpier.platform.keys import name_resend
 from wigeonpier.platform.port import Failure
 from wigeonpier.web.messages import Response
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from wigeonpier.bench.platform import StandInPlatform
-from wigeonpier.platform.certain import swap_confirmed
+from wigeonpier.platform.confirmedwrite import swap_confirmed
 from wigeonpier.platform.gateway import GatewayPlatform
 from wigeonpier.platform.port import Failure, VmState
 from wigeonpier.web.client import HttpClient
