--- a/src/wigeonpier/hosted/assignments.py
+++ b/src/wigeonpier/hosted/assignments.py
@@ -12,7 +12,7 @@
 from wigeonpier.hosted.items import ItemWork
 from wigeonpier.hosted.ledger import decode_assignment
 from wigeonpier.models import ItemProgress
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 from wigeonpier.policy.jobage import JobClock
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -66,7 +66,7 @@
         self._runner = runner
         self._assigned: dict[str, Assignment] = {}
         self.view = make_watcher(
-            places.name_prefix(places.ASSIGNMENTS, vm),
+            storekeys.name_prefix(storekeys.ASSIGNMENTS, vm),
             self._apply,
         )
 
@@ -75,7 +75,7 @@
         self.view.start()
 
     def _apply(self, change: Change) -> None:
-        _vm, name = places.parse_assignment(change.key)
+        _vm, name = storekeys.parse_assignment(change.key)
         if change.value is None:
             self._assigned.pop(name, None)
             self._runner.drop_job(name)
--- a/src/wigeonpier/hosted/board.py
+++ b/src/wigeonpier/hosted/board.py
@@ -9,7 +9,7 @@
 
 from wigeonpier.hosted.news import QuarantineEntry
 from wigeonpier.models import DiskMember, Member, OpenJob
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 
 if TYPE_CHECKING:
     from wigeonpier.platform.port import Entry
@@ -37,18 +37,18 @@
 
         :param entry: the key.
         """
-        if entry.key.startswith(places.OPEN_JOBS):
+        if entry.key.startswith(storekeys.OPEN_JOBS):
             job = msgspec.json.decode(entry.value, type=OpenJob)
             self.jobs[job.name] = job
             self.revisions[job.name] = entry.revision
-        elif entry.key.startswith(places.MEMBERS):
+        elif entry.key.startswith(storekeys.MEMBERS):
             member = msgspec.json.decode(entry.value, type=Member)
             self.members[member.name] = member
-        elif entry.key.startswith(places.DISKS):
+        elif entry.key.startswith(storekeys.DISKS):
             disk = msgspec.json.decode(entry.value, type=DiskMember)
             self.disks[disk.name] = disk
-        elif entry.key.startswith(places.REFUSED):
-            fingerprint = entry.key.removeprefix(places.REFUSED)
+        elif entry.key.startswith(storekeys.REFUSED):
+            fingerprint = entry.key.removeprefix(storekeys.REFUSED)
             refused = msgspec.json.decode(entry.value, type=QuarantineEntry)
             self.refused[fingerprint] = refused
 
--- a/src/wigeonpier/hosted/dealer.py
+++ b/src/wigeonpier/hosted/dealer.py
@@ -14,7 +14,7 @@
 from result import Err, Ok
 
 from wigeonpier.loops import spawn_loop
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 from wigeonpier.policy.placement import UNASSIGNED, reassign_items
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -54,7 +54,7 @@
         self._store_health = store_health
         self._rng = rng
         self._pending: set[str] = set()
-        self._view = make_watcher(places.MEMBERS, self._apply)
+        self._view = make_watcher(storekeys.MEMBERS, self._apply)
 
     def start(self) -> None:
         """Start watching."""
@@ -62,7 +62,7 @@
         spawn_loop('sweep', self._scan)
 
     def _apply(self, change: Change) -> None:
-        name = change.key.removeprefix(places.MEMBERS)
+        name = change.key.removeprefix(storekeys.MEMBERS)
         if change.value is not None:
             if UNASSIGNED not in self._pending:
                 self._pending.add(UNASSIGNED)
@@ -101,7 +101,7 @@
 
     def _try_reassign_items(self, lost: str) -> bool:
         """Reassign the items of a lost process; return false to retry."""
-        if places.name_key(places.MEMBERS, lost) in self._view.entries:
+        if storekeys.name_key(storekeys.MEMBERS, lost) in self._view.entries:
             return True
         read = self._ledger.read_board()
         if isinstance(read, Err):
--- a/src/wigeonpier/hosted/ledger.py
+++ b/src/wigeonpier/hosted/ledger.py
@@ -22,7 +22,7 @@
     JobItem,
     OpenJob,
 )
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 from wigeonpier.platform.port import Change, Commit, Entry, Failure
 from wigeonpier.platform.store import CALL_TIMEOUT_SECONDS
 
@@ -102,7 +102,7 @@
         :returns: open jobs, members and disks.
         """
         listed = self.store.list_prefix(
-            places.BOARD,
+            storekeys.BOARD,
             timeout,
             allow_stale=allow_stale,
         )
@@ -132,18 +132,18 @@
         head_key = _make_head_key(job.name)
         writes = {
             head_key: msgspec.json.encode(head),
-            places.name_key(places.OPEN_JOBS, job.name): msgspec.json.encode(
-                job
-            ),
-            places.name_key(places.AGES, job.name): msgspec.json.encode(
+            storekeys.name_key(
+                storekeys.OPEN_JOBS, job.name
+            ): msgspec.json.encode(job),
+            storekeys.name_key(storekeys.AGES, job.name): msgspec.json.encode(
                 job.sent_at
             ),
         }
         for number, part in enumerate(parts):
-            key = places.name_key(places.ITEMS, job.name, number)
+            key = storekeys.name_key(storekeys.ITEMS, job.name, number)
             writes[key] = msgspec.json.encode(part)
         for owner in set(job.owners):
-            key = places.name_key(places.ASSIGNMENTS, owner, job.name)
+            key = storekeys.name_key(storekeys.ASSIGNMENTS, owner, job.name)
             assignment = _make_assignment(job, owner, items)
             writes[key] = msgspec.json.encode(assignment)
         return self.store.commit(Commit({head_key: 0}, writes), timeout)
@@ -164,15 +164,15 @@
         :returns: the revision; ``conflict`` if the job was changed meanwhile.
         """
         reassigned = replace(job, owners=owners)
-        key = places.name_key(places.OPEN_JOBS, job.name)
+        key = storekeys.name_key(storekeys.OPEN_JOBS, job.name)
         writes = {key: msgspec.json.encode(reassigned)}
         for owner in set(owners) - {lost}:
-            name = places.name_key(places.ASSIGNMENTS, owner, job.name)
+            name = storekeys.name_key(storekeys.ASSIGNMENTS, owner, job.name)
             assignment = replace(
                 _make_assignment(reassigned, owner, []), is_moved=True
             )
             writes[name] = msgspec.json.encode(assignment)
-        deletes = (places.name_key(places.ASSIGNMENTS, lost, job.name),)
+        deletes = (storekeys.name_key(storekeys.ASSIGNMENTS, lost, job.name),)
         return self.store.commit(Commit({key: revision}, writes, deletes))
 
     def read_accept_times(self) -> Result[dict[str, float], Failure]:
@@ -180,9 +180,9 @@
 
         :returns: seconds of the wall clock by id of the job.
         """
-        return self.store.list_prefix(places.AGES).map(
+        return self.store.list_prefix(storekeys.AGES).map(
             lambda snapshot: {
-                entry.key.removeprefix(places.AGES): msgspec.json.decode(
+                entry.key.removeprefix(storekeys.AGES): msgspec.json.decode(
                     entry.value,
                     type=float,
                 )
@@ -203,12 +203,12 @@
         if isinstance(closed, Err):
             return closed
         keys = [_make_head_key(job)]
-        for space in (places.ITEMS, places.RESULTS, places.PROGRESS):
-            listed = self.store.list_prefix(places.name_prefix(space, job))
+        for space in (storekeys.ITEMS, storekeys.RESULTS, storekeys.PROGRESS):
+            listed = self.store.list_prefix(storekeys.name_prefix(space, job))
             if isinstance(listed, Err):
                 return listed
             keys += [entry.key for entry in listed.ok_value.entries]
-        keys.append(places.name_key(places.AGES, job))
+        keys.append(storekeys.name_key(storekeys.AGES, job))
         return self._delete(keys)
 
     def read_head(self, job: str) -> Result[JobHead | None, Failure]:
@@ -227,7 +227,7 @@
         """
         items: list[JobItem] = []
         for number in range(job.parts):
-            key = places.name_key(places.ITEMS, job.name, number)
+            key = storekeys.name_key(storekeys.ITEMS, job.name, number)
             read = self._read_immutable(key)
             if isinstance(read, Err):
                 return read
@@ -250,7 +250,7 @@
             the state that a stale read shows.
         """
         listed = self.store.list_prefix(
-            places.name_prefix(places.ITEMS, job),
+            storekeys.name_prefix(storekeys.ITEMS, job),
             allow_stale=True,
         )
         return listed.map(_join_parts)
@@ -261,7 +261,7 @@
         :param job: id of the job.
         :returns: the revision, 0 if it was closed before.
         """
-        key = places.name_key(places.OPEN_JOBS, job)
+        key = storekeys.name_key(storekeys.OPEN_JOBS, job)
         while True:
             read = self.store.get(key)
             if isinstance(read, Err):
@@ -271,7 +271,7 @@
                 return Ok(0)
             found = msgspec.json.decode(entry.value, type=OpenJob)
             assignments = [
-                places.name_key(places.ASSIGNMENTS, owner, job)
+                storekeys.name_key(storekeys.ASSIGNMENTS, owner, job)
                 for owner in set(found.owners)
             ]
             closed = self.store.commit(
@@ -294,7 +294,9 @@
         :returns: the revision.
         """
         writes = {
-            places.name_key(places.PROGRESS, *key): msgspec.json.encode(found)
+            storekeys.name_key(storekeys.PROGRESS, *key): msgspec.json.encode(
+                found
+            )
             for key, found in progress.items()
         }
         return self.store.commit(Commit(writes=writes))
@@ -309,11 +311,11 @@
         :returns: progress by position of the item.
         """
         listed = self.store.list_prefix(
-            places.name_prefix(places.PROGRESS, job)
+            storekeys.name_prefix(storekeys.PROGRESS, job)
         )
         return listed.map(
             lambda snapshot: {
-                places.parse_index(entry.key): msgspec.json.decode(
+                storekeys.parse_index(entry.key): msgspec.json.decode(
                     entry.value,
                     type=ItemProgress,
                 )
@@ -331,7 +333,9 @@
         :returns: the revision; ``conflict`` if one of them exists.
         """
         writes = {
-            places.name_key(places.RESULTS, *key): msgspec.json.encode(found)
+            storekeys.name_key(storekeys.RESULTS, *key): msgspec.json.encode(
+                found
+            )
             for key, found in results.items()
         }
         guards = dict.fromkeys(writes, 0)
@@ -343,12 +347,14 @@
         :param job: id of the job.
         :returns: the job, ``None`` if there is no such job.
         """
-        listed = self.store.list_prefix(places.name_prefix(places.RESULTS, job))
+        listed = self.store.list_prefix(
+            storekeys.name_prefix(storekeys.RESULTS, job)
+        )
         if isinstance(listed, Err):
             return listed
         snapshot = listed.ok_value
         heads = [
-            entry for entry in snapshot.entries if places.is_head(entry.key)
+            entry for entry in snapshot.entries if storekeys.is_head(entry.key)
         ]
         if not heads:
             return Ok(None)
@@ -377,7 +383,7 @@
         :returns: new results in order, and the revision for the next call.
         """
         received = self.store.await_changes(
-            places.name_prefix(places.RESULTS, job),
+            storekeys.name_prefix(storekeys.RESULTS, job),
             revision,
             seconds,
         )
@@ -417,7 +423,7 @@
 
 
 def _make_head_key(job: str) -> str:
-    return places.name_key(places.RESULTS, job, places.HEAD)
+    return storekeys.name_key(storekeys.RESULTS, job, storekeys.HEAD)
 
 
 def _make_assignment(
@@ -441,7 +447,7 @@
 def _join_parts(snapshot: Snapshot) -> list[JobItem]:
     parts = sorted(
         snapshot.entries,
-        key=lambda entry: places.parse_index(entry.key),
+        key=lambda entry: storekeys.parse_index(entry.key),
     )
     return [
         item
@@ -454,11 +460,11 @@
     placed = [
         PlacedResult(
             entry.created,
-            places.parse_index(entry.key),
+            storekeys.parse_index(entry.key),
             msgspec.json.decode(entry.value, type=ItemResult),
         )
         for entry in entries
-        if entry.value is not None and not places.is_head(entry.key)
+        if entry.value is not None and not storekeys.is_head(entry.key)
     ]
     return sorted(placed, key=lambda found: (found.created, found.index))
 
--- a/src/wigeonpier/hosted/quarantine/replica.py
+++ b/src/wigeonpier/hosted/quarantine/replica.py
@@ -23,7 +23,7 @@
 from wigeonpier.errors import ErrorKind, Refusal
 from wigeonpier.hosted.news import QuarantineEntry
 from wigeonpier.loops import spawn_loop
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 from wigeonpier.platform.port import Commit
 from wigeonpier.telemetry.events import Event
 from wigeonpier.telemetry.logs import log_event
@@ -134,7 +134,7 @@
                 return
 
     def _write_to_store(self, fingerprint: str) -> bool:
-        key = places.name_key(places.REFUSED, fingerprint)
+        key = storekeys.name_key(storekeys.REFUSED, fingerprint)
         content = msgspec.json.encode(self._entries[fingerprint])
         written = self._store.commit(Commit(writes={key: content}))
         if isinstance(written, Err):
--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -19,7 +19,7 @@
 
 from wigeonpier.hosted.news import QuarantineEntry
 from wigeonpier.membership.news import CrashReport, SuspicionUpdate
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 from wigeonpier.platform.port import Commit
 from wigeonpier.policy.suspicion import CRASHES_BEFORE_ISOLATION, MEMORY_SECONDS
 from wigeonpier.telemetry.events import Event
@@ -102,7 +102,7 @@
         :param fingerprint: digest of the request.
         """
         self._unwritten.discard(fingerprint)
-        key = places.name_key(places.REFUSED, fingerprint)
+        key = storekeys.name_key(storekeys.REFUSED, fingerprint)
         result = self._store.commit(Commit(deletes=(key,)))
         if isinstance(result, Err):
             self._log_failure(fingerprint, result.err_value.value)
@@ -117,12 +117,12 @@
         if now - self._read_at < MIN_READ_INTERVAL_SECONDS:
             return
         self._read_at = now
-        listed = self._store.list_prefix(places.REFUSED, allow_stale=True)
+        listed = self._store.list_prefix(storekeys.REFUSED, allow_stale=True)
         if isinstance(listed, Err):
             return
         self.load(
             {
-                entry.key.removeprefix(places.REFUSED): msgspec.json.decode(
+                entry.key.removeprefix(storekeys.REFUSED): msgspec.json.decode(
                     entry.value,
                     type=QuarantineEntry,
                 )
@@ -156,7 +156,7 @@
                 self._wait(RETRY_DELAY_SECONDS)
 
     def _write(self, fingerprint: str) -> None:
-        key = places.name_key(places.REFUSED, fingerprint)
+        key = storekeys.name_key(storekeys.REFUSED, fingerprint)
         content = self._encode(fingerprint)
         result = self._store.commit(Commit(writes={key: content}))
         if isinstance(result, Err):
--- a/src/wigeonpier/hosted/storage.py
+++ b/src/wigeonpier/hosted/storage.py
@@ -15,7 +15,7 @@
 from wigeonpier.hosted.retire import RetireHandler
 from wigeonpier.hosted.views import JobViews
 from wigeonpier.models import DiskMember
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 from wigeonpier.settings.process import split_address
 from wigeonpier.web.server import Server, dispatch_to
 
@@ -55,7 +55,7 @@
         )
         self._disk = Membership(
             context.store,
-            places.name_key(places.DISKS, settings.name),
+            storekeys.name_key(storekeys.DISKS, settings.name),
             DiskMember(settings.name, settings.peers),
             context.store_health.wait,
         )
--- a/src/wigeonpier/hosted/worker.py
+++ b/src/wigeonpier/hosted/worker.py
@@ -26,7 +26,7 @@
 from wigeonpier.membership.ends import CrashDetector
 from wigeonpier.membership.suspicions import Suspicions
 from wigeonpier.models import Member
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 from wigeonpier.policy.trial import TrialTable
 from wigeonpier.settings.process import split_address
 from wigeonpier.web.server import Server, dispatch_to
@@ -125,7 +125,7 @@
         )
         self._membership = Membership(
             context.store,
-            places.name_key(places.MEMBERS, settings.name),
+            storekeys.name_key(storekeys.MEMBERS, settings.name),
             Member(settings.name, settings.service, settings.data_centre),
             context.store_health.wait,
         )
--- a/tests/hosted/test_assignments.py
+++ b/tests/hosted/test_assignments.py
@@ -15,14 +15,14 @@
 from wigeonpier.hosted.common import DaemonContext
 from wigeonpier.hosted.ledger import JobHead, StoredJob
 from wigeonpier.models import Assignment, ItemProgress, JobItem
-from wigeonpier.platform import places
+from wigeonpier.platform import storekeys
 from wigeonpier.platform.port import Change
 
 if TYPE_CHECKING:
     from wigeonpier.hosted.items import ItemWork
 
 ITEMS = [JobItem(f'i{number}', '/p', {}, b'', 1) for number in range(3)]
-KEY = places.name_key(places.ASSIGNMENTS, 'vm', 'j')
+KEY = storekeys.name_key(storekeys.ASSIGNMENTS, 'vm', 'j')
 
 
 class SlowLedger:
