--- a/src/wigeonpier/hosted/entry.py
+++ b/src/wigeonpier/hosted/entry.py
@@ -52,7 +52,7 @@
 if TYPE_CHECKING:
     from wigeonpier.hosted.board import Board
     from wigeonpier.hosted.common import DaemonContext
-    from wigeonpier.membership.news import SuspicionUpdate
+    from wigeonpier.membership.updates import SuspicionUpdate
     from wigeonpier.models import OnlineLoad
     from wigeonpier.web.messages import Request
 
--- a/src/wigeonpier/hosted/loadfollower.py
+++ b/src/wigeonpier/hosted/loadfollower.py
@@ -26,7 +26,7 @@
 
     from wigeonpier.hosted.replicas import ReplicaRegister
     from wigeonpier.hosted.usagecounter import UsageReport
-    from wigeonpier.membership.news import SuspicionUpdate
+    from wigeonpier.membership.updates import SuspicionUpdate
     from wigeonpier.models import HostSettings, OnlineLoad
     from wigeonpier.web.exchange import Exchange
     from wigeonpier.web.pool import ConnectionPool
--- a/src/wigeonpier/hosted/news.py
+++ b/src/wigeonpier/hosted/news.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from wigeonpier.hosted.usagecounter import UsageReport
-from wigeonpier.membership.news import CrashReport, SuspicionUpdate
+from wigeonpier.membership.updates import CrashReport, SuspicionUpdate
 from wigeonpier.models import OnlineLoad
 
 
--- a/src/wigeonpier/hosted/quarantine/store.py
+++ b/src/wigeonpier/hosted/quarantine/store.py
@@ -18,7 +18,7 @@
 from result import Err
 
 from wigeonpier.hosted.news import QuarantineEntry
-from wigeonpier.membership.news import CrashReport, SuspicionUpdate
+from wigeonpier.membership.updates import CrashReport, SuspicionUpdate
 from wigeonpier.platform import storekeys
 from wigeonpier.platform.port import Commit
 from wigeonpier.policy.suspicion import CRASHES_BEFORE_ISOLATION, MEMORY_SECONDS
--- a/src/wigeonpier/hosted/suspectpage.py
+++ b/src/wigeonpier/hosted/suspectpage.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from wigeonpier.errors import ErrorKind, Refusal
-from wigeonpier.membership.news import CrashReport
+from wigeonpier.membership.updates import CrashReport
 from wigeonpier.web.messages import Request, Response, answer_json
 from wigeonpier.web.server import Route, make_route
 
--- a/src/wigeonpier/hosted/suspicionhandler.py
+++ b/src/wigeonpier/hosted/suspicionhandler.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from wigeonpier.membership.news import SuspicionUpdate
+from wigeonpier.membership.updates import SuspicionUpdate
 from wigeonpier.web.messages import Request, Response, decode_body
 from wigeonpier.web.server import Route, make_route
 
--- a/src/wigeonpier/hosted/suspicionpublisher.py
+++ b/src/wigeonpier/hosted/suspicionpublisher.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from wigeonpier.hosted.suspicionhandler import NEWS_PATH
-from wigeonpier.membership.news import SuspicionUpdate
 from wigeonpier.membership.suspicions import PROPAGATION_SECONDS
+from wigeonpier.membership.updates import SuspicionUpdate
 from wigeonpier.settings.process import split_address
 from wigeonpier.web.exchange import make_request
 
--- a/src/wigeonpier/membership/exchange.py
+++ b/src/wigeonpier/membership/exchange.py
@@ -11,7 +11,7 @@
 import msgspec
 from result import Err
 
-from wigeonpier.membership.news import SuspicionUpdate
+from wigeonpier.membership.updates import SuspicionUpdate
 from wigeonpier.web.messages import Request, Response, answer_json, decode_body
 from wigeonpier.web.server import Route, make_route
 
--- a/src/wigeonpier/membership/messages.py
+++ b/src/wigeonpier/membership/messages.py
@@ -8,7 +8,7 @@
 
 from wigeonpier.batch.claims import Claim
 from wigeonpier.batch.models import Job
-from wigeonpier.membership.news import SuspicionUpdate
+from wigeonpier.membership.updates import SuspicionUpdate
 
 
 class Role(StrEnum):
--- a/src/wigeonpier/membership/suspicions.py
+++ b/src/wigeonpier/membership/suspicions.py
@@ -13,7 +13,7 @@
 
 from gevent.event import Event as Signal
 
-from wigeonpier.membership.news import CrashReport, SuspicionUpdate
+from wigeonpier.membership.updates import CrashReport, SuspicionUpdate
 from wigeonpier.policy.suspicion import (
     RENEW_SECONDS,
     UNSTABLE_SECONDS,
--- a/tests/hosted/quarantine/test_replica.py
+++ b/tests/hosted/quarantine/test_replica.py
@@ -17,8 +17,8 @@
     QuarantineReplica,
 )
 from wigeonpier.hosted.quarantine.store import QuarantineStore
-from wigeonpier.membership.news import CrashReport
 from wigeonpier.membership.suspicions import Suspicions
+from wigeonpier.membership.updates import CrashReport
 from wigeonpier.platform.port import Failure
 from wigeonpier.web.messages import Request
 
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from wigeonpier.membership import suspicions as module
-from wigeonpier.membership.news import CrashReport, SuspicionUpdate
 from wigeonpier.membership.suspicions import Suspicions
+from wigeonpier.membership.updates import CrashReport, SuspicionUpdate
 from wigeonpier.policy.suspicion import RunMode
 
 V1 = frozenset(('v1',))
