--- a/tests/policy/test_peakmodel.py
+++ b/tests/policy/test_peakmodel.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.builders import build_upstream
-from tests.policy.peakmodel import CRITERIA, PeakModel
+from tests.policy.crests import CRITERIA, PeakModel
 from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.route import estimate_cost, find_usable, record_load
 
--- a/tests/policy/test_reservation.py
+++ b/tests/policy/test_reservation.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.policy.peakmodel import PeakModel
+from tests.policy.crests import PeakModel
 from wigeonpier.policy.reservation import (
     ARRIVAL_SECONDS,
     SlotUse,
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.builders import build_upstream
-from tests.policy.peakmodel import PeakModel
+from tests.policy.crests import PeakModel
 from wigeonpier.models import OnlineLoad
 from wigeonpier.policy.route import record_load
 from wigeonpier.policy.waiting import (
